--- a/quilldyke-core/src/main/java/org/quilldyke/caller/Admission.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/Admission.java
@@ -26,24 +26,24 @@
  */
 public final class Admission {
     /** The most urgent prompts may wait for their whole objective. */
-    private static final double URGENT_PART = 1.0;
+    private static final double URGENT_OBJECTIVE_FRACTION = 1.0;
 
     /** All others leave a part of the line free, so that urgent ones come in time. */
-    private static final double OTHERS_PART = 0.65;
+    private static final double NORMAL_OBJECTIVE_FRACTION = 0.65;
 
     /**
      * The reading of a prompt's own part counts up to this part of its objective: else the largest
      * would never be taken.
      */
-    private static final double OWN_READING_PART = 0.2;
+    private static final double OWN_PREFILL_OBJECTIVE_FRACTION = 0.2;
 
     /** Callers come back within this part of the time that they have left, or not at all. */
-    private static final double RETRY_TIME_PART = 1.0 / 3;
+    private static final double MAX_RETRY_DELAY_FRACTION = 1.0 / 3;
 
     /**
      * The longest time to come back after, in objectives: a line of today's bursts is gone then.
      */
-    private static final double MAX_RETRY_OBJECTIVES = 2.0;
+    private static final double MAX_RETRY_DELAY_OBJECTIVES = 2.0;
 
     private Admission() {}
 
@@ -56,11 +56,15 @@
             return true;
         }
         long objective = request.route().objectiveMillis();
-        return admissionMillis <= objective * (request.priority() == 0 ? URGENT_PART : OTHERS_PART);
+        return admissionMillis
+                <= objective
+                        * (request.priority() == 0
+                                ? URGENT_OBJECTIVE_FRACTION
+                                : NORMAL_OBJECTIVE_FRACTION);
     }
 
     /** Returns what a refusal rests on, for the log. */
-    static String whyRefused(ForwardRequest request, Choice best) {
+    static String refusalDetail(ForwardRequest request, Choice best) {
         return "best "
                 + best.target()
                 + " in "
@@ -72,9 +76,10 @@
     }
 
     /** Returns how much of the reading of a prompt's own part doesn't count. */
-    public static double pardonedMillis(ForwardRequest request, double ownReadingMillis) {
-        double counted = OWN_READING_PART * request.route().objectiveMillis();
-        return Math.max(0, ownReadingMillis - counted);
+    public static double discountedPrefillMillis(ForwardRequest request, double ownPrefillMillis) {
+        double maxCountedMillis =
+                OWN_PREFILL_OBJECTIVE_FRACTION * request.route().objectiveMillis();
+        return Math.max(0, ownPrefillMillis - maxCountedMillis);
     }
 
     /**
@@ -83,8 +88,8 @@
      */
     public static long retryAfterMillis(ForwardRequest request, RandomGenerator random, long now) {
         long objective = Math.max(1, request.route().objectiveMillis());
-        long most = Math.round((request.answerBy() - now) * RETRY_TIME_PART);
-        long latest = Math.min(most, Math.round(objective * MAX_RETRY_OBJECTIVES));
+        long maxDelay = Math.round((request.deadline() - now) * MAX_RETRY_DELAY_FRACTION);
+        long latest = Math.min(maxDelay, Math.round(objective * MAX_RETRY_DELAY_OBJECTIVES));
         long earliest = Math.min(objective, latest);
         return Math.max(1, earliest + random.nextLong(Math.max(1, latest - earliest + 1)));
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/AnswerHead.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/AnswerHead.java
@@ -19,17 +19,17 @@
  * What the start of a target's answer says.
  *
  * @param status the HTTP status
- * @param refusedUnrun whether the target says that it didn't run the request and never will
+ * @param refused whether the target says that it didn't run the request and never will
  * @param wrongTarget whether the target says that it isn't the one, or hasn't the weights, that the
  *     request expects
  * @param signed whether it bears the mark of a target's own answer
  * @param stream whether a stream of events follows
  */
 public record AnswerHead(
-        int status, boolean refusedUnrun, boolean wrongTarget, boolean signed, boolean stream) {
+        int status, boolean refused, boolean wrongTarget, boolean signed, boolean stream) {
     /** Returns whether the request has surely not run. */
     public boolean isNotRun() {
-        return refusedUnrun || wrongTarget;
+        return refused || wrongTarget;
     }
 
     /** Returns whether the answer is a success. */
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/Attempt.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/AttemptState.java
@@ -18,7 +18,7 @@
 import org.quilldyke.Outcome;
 
 /** How far one attempt to run a request has come: the one place where its outcome is decided. */
-public enum Attempt {
+public enum AttemptState {
     /** Nothing was sent. */
     QUEUED(Outcome.NOT_RUN),
     /** A connection is being made or bytes are being sent; the target may have got them. */
@@ -32,7 +32,7 @@
 
     private final Outcome mOutcome;
 
-    Attempt(Outcome outcome) {
+    AttemptState(Outcome outcome) {
         mOutcome = outcome;
     }
 
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/LostRuns.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/DisconnectedRuns.java
@@ -27,45 +27,45 @@
  * <p>A connection alone may be closed by a fault of the network or of one answer. A target that
  * takes no connections right after it has closed some has crashed.
  */
-public final class LostRuns {
+public final class DisconnectedRuns {
     /** A target that ends later than this after it closed a connection ended for another reason. */
-    static final long KEPT_MILLIS = 2000;
+    static final long RETENTION_MILLIS = 2000;
 
     private final Map<String, Map<RequestFingerprint, Long>> mByTarget = new HashMap<>();
 
-    private LostRuns() {}
+    private DisconnectedRuns() {}
 
     /** Returns an object that knows of no lost run. */
-    public static LostRuns create() {
-        return new LostRuns();
+    public static DisconnectedRuns create() {
+        return new DisconnectedRuns();
     }
 
     /** Notes that a target closed the connection of a run. */
-    public void onLost(String target, RequestFingerprint request, long now) {
+    public void onDisconnected(String target, RequestFingerprint request, long now) {
         expire(now);
         mByTarget.computeIfAbsent(target, id -> new HashMap<>()).put(request, now);
     }
 
     /** Returns the crash of a target that has ended; nothing if it has closed no run before. */
-    public Optional<TargetCrash> onEnded(String target, long now) {
+    public Optional<TargetCrash> onTargetEnded(String target, long now) {
         expire(now);
-        Map<RequestFingerprint, Long> lost = mByTarget.remove(target);
-        if (lost == null) {
+        Map<RequestFingerprint, Long> disconnected = mByTarget.remove(target);
+        if (disconnected == null) {
             return Optional.empty();
         }
-        Set<RequestFingerprint> requests = new HashSet<>(lost.keySet());
-        long at = lost.values().stream().mapToLong(Long::longValue).min().orElse(now);
+        Set<RequestFingerprint> requests = new HashSet<>(disconnected.keySet());
+        long at = disconnected.values().stream().mapToLong(Long::longValue).min().orElse(now);
         return Optional.of(new TargetCrash(target, requests, at));
     }
 
     /** Forgets the runs of a target that has left in peace. */
-    public void onLeft(String target) {
+    public void onTargetLeft(String target) {
         mByTarget.remove(target);
     }
 
     private void expire(long now) {
-        for (Map<RequestFingerprint, Long> lost : mByTarget.values()) {
-            lost.values().removeIf(at -> now - at > KEPT_MILLIS);
+        for (Map<RequestFingerprint, Long> disconnected : mByTarget.values()) {
+            disconnected.values().removeIf(at -> now - at > RETENTION_MILLIS);
         }
         mByTarget.values().removeIf(Map::isEmpty);
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/EventBound.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/EventCountBound.java
@@ -22,22 +22,22 @@
  * bounds it from above: its events can't bear more than its allowance. Only answers that use most
  * of theirs tell the number itself; until a few have, each token is taken for an event.
  */
-final class EventBound {
+final class EventCountBound {
     /**
      * More tokens than this in an event are taken for an answer that used a part of its own:
      * today's sites have four and five. Where four are true, seven bound an answer by 1.75 times
      * too little.
      */
-    private static final int MOST_TOKENS = 7;
+    private static final int MAX_TOKENS_PER_EVENT = 7;
 
     /**
      * So many answers near their allowance are believed: of forty, whose lengths are spread as
-     * {@link RunTimes} has it, nine in ten times two or more use 120 events of 191.
+     * {@link RunDurationBound} has it, nine in ten times two or more use 120 events of 191.
      */
-    private static final int ENOUGH_RUNS = 2;
+    private static final int MIN_SAMPLES = 2;
 
-    private int mTokens = MOST_TOKENS;
-    private int mRuns;
+    private int mTokensPerEvent = MAX_TOKENS_PER_EVENT;
+    private int mSamples;
 
     /**
      * Takes an answer, or what came of one.
@@ -45,20 +45,20 @@
      * @param maxTokens how many tokens it might have had
      * @param events how many events it had
      */
-    void onSeen(int maxTokens, int events) {
+    void onAnswer(int maxTokens, int events) {
         if (events < 2) {
             return;
         }
-        int tokens = Math.max(1, (maxTokens - 1) / (events - 1));
-        if (tokens <= MOST_TOKENS) {
-            mTokens = Math.min(mTokens, tokens);
-            mRuns++;
+        int tokensPerEvent = Math.max(1, (maxTokens - 1) / (events - 1));
+        if (tokensPerEvent <= MAX_TOKENS_PER_EVENT) {
+            mTokensPerEvent = Math.min(mTokensPerEvent, tokensPerEvent);
+            mSamples++;
         }
     }
 
     /** Returns how many events an answer with the given allowance has at most. */
-    int mostEvents(int maxTokens) {
-        int tokens = mRuns < ENOUGH_RUNS ? 1 : mTokens;
-        return (maxTokens + tokens - 1) / tokens;
+    int maxEvents(int maxTokens) {
+        int tokensPerEvent = mSamples < MIN_SAMPLES ? 1 : mTokensPerEvent;
+        return (maxTokens + tokensPerEvent - 1) / tokensPerEvent;
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/EventShares.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/EventCountEstimator.java
@@ -25,23 +25,23 @@
  * <p>Most answers use a tenth of what they may. To take each for the longest moved 42 streams in
  * the stops of one day played, 34 of which ended within 4 s of the 7.8 s that they had.
  */
-final class EventShares {
+final class EventCountEstimator {
     /** Some minutes of one instance's streams. */
-    private static final int KEPT_RUNS = 256;
+    private static final int MAX_SAMPLES = 256;
 
     /** Fewer that lasted as long tell too little of how much longer they last. */
-    private static final int ENOUGH_RUNS = 8;
+    private static final int MIN_SAMPLES = 8;
 
     /** Of those that lasted as long, this part is over by then. */
-    private static final double LIKELY_PART = 0.75;
+    private static final double LIKELY_QUANTILE = 0.75;
 
-    private final double[] mShares = new double[KEPT_RUNS];
-    private int mSeen;
+    private final double[] mEventsPerToken = new double[MAX_SAMPLES];
+    private int mSamples;
 
     /** Takes a whole answer: its allowance in tokens, and how many events it had. */
-    void onEnded(int maxTokens, int events) {
-        mShares[mSeen % KEPT_RUNS] = (double) events / Math.max(1, maxTokens);
-        mSeen++;
+    void onCompleted(int maxTokens, int events) {
+        mEventsPerToken[mSamples % MAX_SAMPLES] = (double) events / Math.max(1, maxTokens);
+        mSamples++;
     }
 
     /**
@@ -52,14 +52,18 @@
      * @param events how many it has had
      */
     OptionalInt likelyEvents(int maxTokens, int events) {
-        double[] longer =
-                Arrays.stream(mShares, 0, Math.min(mSeen, KEPT_RUNS))
-                        .map(share -> share * maxTokens)
-                        .filter(all -> all > events)
+        double[] longerAnswers =
+                Arrays.stream(mEventsPerToken, 0, Math.min(mSamples, MAX_SAMPLES))
+                        .map(eventsPerToken -> eventsPerToken * maxTokens)
+                        .filter(totalEvents -> totalEvents > events)
                         .sorted()
                         .toArray();
-        return longer.length < ENOUGH_RUNS
+        return longerAnswers.length < MIN_SAMPLES
                 ? OptionalInt.empty()
-                : OptionalInt.of((int) Math.ceil(longer[(int) (LIKELY_PART * longer.length)]));
+                : OptionalInt.of(
+                        (int)
+                                Math.ceil(
+                                        longerAnswers[
+                                                (int) (LIKELY_QUANTILE * longerAnswers.length)]));
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/ForwardRequest.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/ForwardRequest.java
@@ -26,26 +26,26 @@
  * @param route the route that it takes
  * @param service the service that it goes to
  * @param organisation who sends it, if it showed a key
- * @param commonCache the name under which organisations share cached prompts
+ * @param sharedCacheScope the name under which organisations share cached prompts
  * @param prompt its prompt, if it has one
  * @param bodyBytes the size of its body
  * @param arrivedAt when it was read
- * @param answerBy when its time is over: the caller's own deadline or the route's timeout
+ * @param deadline when its time is over: the caller's own deadline or the route's timeout
  * @param fingerprint names what it asks for, whatever its id
- * @param lastEvent the event after which its stream goes on, -1 to begin at the start
+ * @param resumeAfterEvent the event after which its stream goes on, -1 to begin at the start
  */
 public record ForwardRequest(
         String id,
         Route route,
         String service,
         Optional<Organisation> organisation,
-        String commonCache,
+        String sharedCacheScope,
         Optional<Prompt> prompt,
         int bodyBytes,
         long arrivedAt,
-        long answerBy,
+        long deadline,
         RequestFingerprint fingerprint,
-        long lastEvent) {
+        long resumeAfterEvent) {
     /** Returns the rank of the request; 0 goes first. */
     public int priority() {
         return organisation
@@ -59,10 +59,10 @@
     }
 
     /** Returns whose cached prompts the request shares: its organisation's own, or the common. */
-    public String cacheOwner() {
+    public String cacheScope() {
         return organisation
                 .filter(Organisation::isolated)
                 .map(Organisation::name)
-                .orElse(commonCache);
+                .orElse(sharedCacheScope);
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/Forwarding.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/Forwarding.java
@@ -24,169 +24,168 @@
 import org.quilldyke.routing.TargetBook;
 
 /**
- * Decides what becomes of one request: where it goes, whether it may be sent again, and what its
- * caller is told.
+ * State machine of one forwarded request: chooses targets, decides on retries and on the outcome
+ * that is reported to the caller.
  *
- * <p>The one place that knows whether a request may have run. A caller is told "not run" only if no
- * byte was sent, or each target it was sent to has said so. A request that may have run is sent
- * again only if it may run twice, within the route's number of attempts and the allowance for
- * second attempts.
+ * <p>Only this class tracks whether the request may have run. It is reported as not run only if no
+ * byte was sent or each target that received it has refused it. A request that may have run is sent
+ * again only if it is repeatable, within the route's attempts and the retry budget.
  *
- * <p>A run that may be at work is never left before another one has begun to answer: where this
- * instance would rather have the answer from elsewhere, it asks a successor and keeps the run. What
- * fails then is the successor alone. An answer under way ends early only if its target failed and
- * nobody else may run it, if its own time is over, or if this instance has to end.
+ * <p>A run in progress is not cancelled before another target has started to answer: a successor is
+ * asked while the run is kept, so that a failure of the successor does no harm. An answer that has
+ * started is aborted only if its target failed and no other target may run the request, if its
+ * deadline has passed, or if this instance has reached its shutdown deadline.
  */
 public final class Forwarding {
     /** A request that can't be sent anywhere waits for a part of its objective at most. */
     private static final int WAIT_DIVISOR = 5;
 
-    private static final long WAIT_STEP_MILLIS = 20;
+    private static final long POLL_MILLIS = 20;
 
     /** How often a request may fail to reach a target before its caller is told. */
-    private static final int MAX_UNSENT = 5;
+    private static final int MAX_UNREACHABLE = 5;
 
     /** A target may be silent for this long before another one is asked, whatever the objective. */
-    private static final long MIN_SILENCE_MILLIS = 800;
+    private static final long MIN_UNRESPONSIVE_MILLIS = 800;
 
     /**
      * A stream is moved by choice only if this many second attempts are left: one for itself, and
      * two that stay for answers whose target fails.
      */
-    private static final int MOVE_ATTEMPTS = 3;
+    private static final int MIN_RETRIES_TO_MOVE = 3;
 
     /** A second attempt with less time than this is pointless. */
-    private static final long MIN_MILLIS_LEFT = 30;
+    private static final long MIN_MILLIS_TO_RETRY = 30;
 
     private final ForwardRequest mRequest;
-    private final TargetBook mBook;
-    private final RetryAllowance mRetries;
+    private final TargetBook mTargets;
+    private final ServiceRetryBudget mRetryBudget;
     private final ShutdownAdmission mShutdown;
     private final SuspectRequests mSuspects;
     private final RunHistory mHistory;
-    private final TimelyEnd mTimelyEnd;
+    private final ShutdownMigration mMigration;
     private final Handover mHandover;
 
     /** The run whose answer is passed on, null if there is none. */
     private TargetRun mRun;
 
-    private int mUnsent;
-    private boolean mHeadPassed;
-    private long mLastEvent;
-    private final LostStream mLost = new LostStream();
-    private ResultCode mLostBy = ResultCode.TARGET_LOST;
-    private CutCause mLeftBy = CutCause.TARGET;
+    private int mUnreachableCount;
+    private boolean mAnswerStarted;
+    private long mLastRelayedEvent;
+    private final ResumeBackoff mResumeBackoff = new ResumeBackoff();
+    private ResultCode mFailureCode = ResultCode.TARGET_LOST;
+    private CutCause mCutCause = CutCause.TARGET;
 
     private Forwarding(
             ForwardRequest request,
-            TargetBook book,
-            RetryAllowance retries,
+            TargetBook targets,
+            ServiceRetryBudget retryBudget,
             ShutdownAdmission shutdown,
             SuspectRequests suspects) {
         mRequest = request;
-        mBook = book;
-        mRetries = retries;
+        mTargets = targets;
+        mRetryBudget = retryBudget;
         mShutdown = shutdown;
         mSuspects = suspects;
         mHistory = new RunHistory(request.route().maxAttempts());
         mHandover = new Handover(request.route());
-        mTimelyEnd = new TimelyEnd(request, book, shutdown);
-        mLastEvent = request.lastEvent();
+        mMigration = new ShutdownMigration(request, targets, shutdown);
+        mLastRelayedEvent = request.resumeAfterEvent();
     }
 
     /**
      * Returns the decisions for a request.
      *
      * @param request what is asked for
-     * @param book the targets
-     * @param retries bounds second attempts
+     * @param targets the targets
+     * @param retryBudget bounds second attempts
      * @param shutdown which requests are taken while the instance shuts down
      * @param suspects which requests may crash targets
      */
     public static Forwarding of(
             ForwardRequest request,
-            TargetBook book,
-            RetryAllowance retries,
+            TargetBook targets,
+            ServiceRetryBudget retryBudget,
             ShutdownAdmission shutdown,
             SuspectRequests suspects) {
-        return new Forwarding(request, book, retries, shutdown, suspects);
+        return new Forwarding(request, targets, retryBudget, shutdown, suspects);
     }
 
     /** Returns the first step. */
     public Step start(long now) {
-        mRetries.onRequest(mRequest.service(), now);
-        return choose(now);
+        mRetryBudget.onRequest(mRequest.service(), now);
+        return chooseTarget(now);
     }
 
     /** Returns the step after a wait. */
-    public Step onWaited(long now) {
-        return mHeadPassed ? goOn(mLostBy, now) : choose(now);
+    public Step onWaitElapsed(long now) {
+        return mAnswerStarted ? resumeStream(mFailureCode, now) : chooseTarget(now);
     }
 
     /** Notes that the first byte is about to leave: from now on the request may run. */
     public void onSending() {
-        noteSending(mRun);
+        recordSending(mRun);
     }
 
     /** Returns the step after the target could not be reached; no byte was sent. */
-    public Step onUnsent(long now) {
-        mBook.onUnreachable(mRun.target(), now);
-        mHistory.onUnfit(mRun.target());
+    public Step onUnreachable(long now) {
+        mTargets.onUnreachable(mRun.target(), now);
+        mHistory.onUnavailable(mRun.target());
         finishRun();
-        mUnsent++;
-        if (mUnsent < MAX_UNSENT) {
-            return choose(now);
+        mUnreachableCount++;
+        if (mUnreachableCount < MAX_UNREACHABLE) {
+            return chooseTarget(now);
         }
-        mUnsent = 0;
-        return giveUp(ResultCode.NO_TARGET, MAX_UNSENT + " out of reach", now);
+        mUnreachableCount = 0;
+        return refuseOrResume(ResultCode.NO_TARGET, MAX_UNREACHABLE + " out of reach", now);
     }
 
     /** Returns the step after the head of an answer; the body of a stream follows. */
-    public Step onAnswer(AnswerHead head, long now) {
+    public Step onAnswerHead(AnswerHead head, long now) {
         if (head.isNotRun()) {
-            return onRefusedUnrun(head, now);
+            return onRefused(head, now);
         }
         mHistory.onRun(mRun.target());
         if (!head.isGenuine()) {
-            mBook.onSpoiled(mRun.target(), now);
+            mTargets.onSpoiled(mRun.target(), now);
             mHistory.onFailed(mRun.target());
             finishRun();
-            return sendAgainOr(ResultCode.ANSWER_SPOILED, now);
+            return retryOrFail(ResultCode.ANSWER_SPOILED, now);
         }
-        if (mHeadPassed && !(head.stream() && head.isSuccess())) {
+        if (mAnswerStarted && !(head.stream() && head.isSuccess())) {
             // Nothing but events can follow those that were passed on.
-            return onBroken(ResultCode.STREAM_BROKEN, now);
+            return onAnswerFailed(ResultCode.STREAM_BROKEN, now);
         }
         if (head.status() >= 500 && !head.isSuccess()) {
-            mBook.onFailure(mRun.target(), now);
-            if (mHandover.isAsked() || mayRunAgain(now) && takeRetry(now)) {
+            mTargets.onFailure(mRun.target(), now);
+            if (mHandover.isPending() || mayRunAgain(now) && acquireRetry(now)) {
                 mHistory.onFailed(mRun.target());
                 finishRun();
-                return follow().orElseGet(() -> choose(now));
+                return switchToSuccessor().orElseGet(() -> chooseTarget(now));
             }
-            return new Step.PassOn();
+            return new Step.Relay();
         }
-        mBook.onSuccess(mRun.target(), now);
-        return new Step.PassOn();
+        mTargets.onSuccess(mRun.target(), now);
+        return new Step.Relay();
     }
 
     /** Notes that events up to the given one were passed on to the caller. */
-    public void onEventPassed(long event) {
-        mHeadPassed = true;
-        mLost.onEvent();
-        mLastEvent = event;
-        mTimelyEnd.onEventPassed();
+    public void onEventRelayed(long event) {
+        mAnswerStarted = true;
+        mResumeBackoff.onEvent();
+        mLastRelayedEvent = event;
+        mMigration.onEventRelayed();
         mRun.onPromptRead();
     }
 
     /** Returns at how many targets the request runs, has run or may have run. */
-    public int runs() {
-        return mHistory.targets();
+    public int runCount() {
+        return mHistory.runCount();
     }
 
     /** Returns the last event passed on, -1 for none. */
-    public long lastEvent() {
-        return mLastEvent;
+    public long lastRelayedEvent() {
+        return mLastRelayedEvent;
     }
 
     /** Notes that the target's answer is complete and passed on. */
@@ -195,115 +194,115 @@
     }
 
     /** Returns the step after the target's answer broke off, or can't be the one asked for. */
-    public Step onBroken(ResultCode why, long now) {
-        return onLost(why, CutCause.TARGET, now);
+    public Step onAnswerFailed(ResultCode code, long now) {
+        return onRunFailed(code, CutCause.TARGET, now);
     }
 
     /** Returns the step after this instance has taken the target for lost. */
-    public Step onGivenUp(CutCause cause, long now) {
+    public Step onTargetLost(CutCause cause, long now) {
         if (!mRun.isSent()) {
-            return onUnsent(now);
+            return onUnreachable(now);
         }
-        return onLost(ResultCode.TARGET_LOST, cause, now);
+        return onRunFailed(ResultCode.TARGET_LOST, cause, now);
     }
 
-    private Step onLost(ResultCode why, CutCause cause, long now) {
-        mLeftBy = cause;
-        mBook.onFailure(mRun.target(), now);
+    private Step onRunFailed(ResultCode code, CutCause cause, long now) {
+        mCutCause = cause;
+        mTargets.onFailure(mRun.target(), now);
         mHistory.onRun(mRun.target());
         mHistory.onFailed(mRun.target());
         finishRun();
-        return sendAgainOr(why, now);
+        return retryOrFail(code, now);
     }
 
     /**
      * Returns where a stream under way may go on since its target waits for its end to load
      * weights; nothing if it stays. Its run is kept until the successor has begun.
      */
-    public Optional<Step.Send> onTargetWaits(long now) {
+    public Optional<Step.Send> onLoadPending(long now) {
         boolean mayMove =
-                mHeadPassed
+                mAnswerStarted
                         && mHandover.mayMove()
-                        && mHistory.mayRunAtAnother()
-                        && mRetries.hasRoom(mRequest.service(), MOVE_ATTEMPTS, now);
+                        && mHistory.mayRunOnAnother()
+                        && mRetryBudget.hasAvailable(mRequest.service(), MIN_RETRIES_TO_MOVE, now);
         return mayMove ? askSuccessor(CutCause.MOVE, now) : Optional.empty();
     }
 
     /**
      * Returns who else may answer since the target has been silent on this request; nothing if that
-     * tells nothing, see {@link #isSilenceTelling}. Its run is kept until the successor has begun.
+     * tells nothing, see {@link #mayReplaceTarget}. Its run is kept until the successor has begun.
      */
-    public Optional<Step.Send> onSilence(long now) {
-        return isSilenceTelling(now) ? askSuccessor(CutCause.SILENCE, now) : Optional.empty();
+    public Optional<Step.Send> onTargetUnresponsive(long now) {
+        return mayReplaceTarget(now) ? askSuccessor(CutCause.SILENCE, now) : Optional.empty();
     }
 
     /**
      * Returns where a stream under way has to go on now since it won't end before this instance has
      * to; nothing if it stays. Its run is kept until the successor has begun.
      */
-    public Optional<Step.Send> onInstanceEnding(long now) {
-        if (!mHeadPassed || !mayAskSuccessor(now)) {
+    public Optional<Step.Send> onShutdownCheck(long now) {
+        if (!mAnswerStarted || !mayAskSuccessor(now)) {
             return Optional.empty();
         }
-        Optional<Choice> quicker = mTimelyEnd.quicker(mRun.target(), barred(), now);
-        Optional<Step.Send> send = askSuccessor(CutCause.SHUTDOWN, quicker, now);
-        send.ifPresent(asked -> mTimelyEnd.onAsked(asked.choice().target()));
+        Optional<Choice> faster = mMigration.fasterTarget(mRun.target(), excludedTargets(), now);
+        Optional<Step.Send> send = askSuccessor(CutCause.SHUTDOWN, faster, now);
+        send.ifPresent(asked -> mMigration.onAsked(asked.choice().target()));
         return send;
     }
 
     /** Notes that the first byte is about to leave for the successor. */
     public void onSuccessorSending() {
-        noteSending(mHandover.successor());
+        recordSending(mHandover.successor());
     }
 
     /** Notes that the successor could not be reached; the run stays. */
-    public void onSuccessorUnsent(long now) {
-        mBook.onUnreachable(mHandover.successor().target(), now);
-        mHistory.onUnfit(mHandover.successor().target());
-        mHandover.drop();
+    public void onSuccessorUnreachable(long now) {
+        mTargets.onUnreachable(mHandover.successor().target(), now);
+        mHistory.onUnavailable(mHandover.successor().target());
+        mHandover.discard();
     }
 
     /** Notes that the successor has refused the request unrun; the run stays. */
     public void onSuccessorRefused(AnswerHead head, long now) {
         String target = mHandover.successor().target();
-        noteRefusal(mHandover.successor(), head, now);
+        recordRefusal(mHandover.successor(), head, now);
         if (mHandover.cause() == CutCause.SHUTDOWN) {
-            mTimelyEnd.onRefused(target, now);
+            mMigration.onRefused(target, now);
         } else {
-            mHistory.onUnfit(target);
+            mHistory.onUnavailable(target);
         }
-        mHandover.drop();
+        mHandover.discard();
     }
 
     /** Notes that the successor failed, or sent no answer that can follow; the run stays. */
-    public void onSuccessorBroken(long now) {
-        mBook.onFailure(mHandover.successor().target(), now);
+    public void onSuccessorFailed(long now) {
+        mTargets.onFailure(mHandover.successor().target(), now);
         mHistory.onRun(mHandover.successor().target());
         mHistory.onFailed(mHandover.successor().target());
-        mHandover.drop();
+        mHandover.discard();
     }
 
     /** Notes that the successor isn't wanted any more: the run goes on, or has ended. */
-    public void onSuccessorDropped() {
+    public void onSuccessorDiscarded() {
         if (mHandover.successor().isSent()) {
             mHistory.onRun(mHandover.successor().target());
-            mHistory.onLeftAtWork(mHandover.successor().target());
+            mHistory.onLeftRunning(mHandover.successor().target());
         }
-        mHandover.drop();
+        mHandover.discard();
     }
 
     /** Returns whether an answer of the successor can take the run's place. */
-    public boolean mayFollow(AnswerHead head) {
+    public boolean maySuccessorTakeOver(AnswerHead head) {
         return head.isGenuine()
-                && (mHeadPassed ? head.stream() && head.isSuccess() : head.status() < 500);
+                && (mAnswerStarted ? head.stream() && head.isSuccess() : head.status() < 500);
     }
 
     /** Notes that the successor has begun to answer: it takes the run's place. */
-    public void onSuccessorBegun() {
-        mLeftBy = mHandover.cause();
-        mHistory.onLeftAtWork(mRun.target());
+    public void onSuccessorStarted() {
+        mCutCause = mHandover.cause();
+        mHistory.onLeftRunning(mRun.target());
         finishRun();
-        follow();
+        switchToSuccessor();
     }
 
     /** Returns whether events of the run wait for the successor to begin. */
@@ -317,13 +316,13 @@
     }
 
     /** Returns whether an answer is passed on already, so that only its rest may come elsewhere. */
-    public boolean isUnderWay() {
-        return mHeadPassed;
+    public boolean isAnswerStarted() {
+        return mAnswerStarted;
     }
 
     /** Returns the step when the request's time is over. */
-    public Step onTimeOver(long now) {
-        return cutShort(
+    public Step onDeadline(long now) {
+        return terminate(
                 ResultCode.ROUTE_TIMEOUT,
                 CutCause.TIME,
                 new Step.Refuse(ResultCode.DEADLINE_PASSED, 0, "no target in time"));
@@ -334,41 +333,41 @@
      *
      * @param retryAfterMillis when the caller may try again if nothing has run
      */
-    public Step onUnconfirmed(long retryAfterMillis, String why) {
+    public Step onKeyUnconfirmed(long retryAfterMillis, String detail) {
         finishRun();
-        return refuse(new Step.Refuse(ResultCode.KEYS_UNCONFIRMED, retryAfterMillis, why));
+        return refuse(new Step.Refuse(ResultCode.KEYS_UNCONFIRMED, retryAfterMillis, detail));
     }
 
     /** Returns the step when this instance has to end before the target's answer does. */
-    public Step onInstanceEnds() {
-        return cutShort(
+    public Step onShutdownDeadline() {
+        return terminate(
                 ResultCode.CUT_BY_SHUTDOWN,
                 CutCause.SHUTDOWN,
                 new Step.Refuse(ResultCode.SHUTTING_DOWN, 0, "not sent before the end"));
     }
 
-    private Step cutShort(ResultCode code, CutCause cause, Step.Refuse unsent) {
-        boolean sent = mRun != null && mRun.isSent() || mHistory.targets() > 0;
+    private Step terminate(ResultCode code, CutCause cause, Step.Refuse refusal) {
+        boolean sent = mRun != null && mRun.isSent() || mHistory.runCount() > 0;
         finishAll();
-        if (mHeadPassed) {
-            return new Step.Break(code, cause);
+        if (mAnswerStarted) {
+            return new Step.Abort(code, cause);
         }
-        return sent ? new Step.Fail(code) : unsent;
+        return sent ? new Step.Fail(code) : refusal;
     }
 
     /** Notes that nothing more is done: the caller went away. */
-    public void abandon() {
+    public void onCallerDisconnected() {
         finishAll();
     }
 
     /** Returns for how long the present target may be silent before another one is asked. */
-    public long silenceMillis() {
+    public long unresponsiveTimeoutMillis() {
         if (!mRequest.route().mayRunAgain()) {
             return Long.MAX_VALUE;
         }
         long objective = mRequest.route().objectiveMillis();
-        long patience = mHeadPassed ? 2 * mRequest.route().pauseMillis() : 2 * objective;
-        return Math.max(MIN_SILENCE_MILLIS, patience);
+        long timeout = mAnswerStarted ? 2 * mRequest.route().pauseMillis() : 2 * objective;
+        return Math.max(MIN_UNRESPONSIVE_MILLIS, timeout);
     }
 
     /**
@@ -376,93 +375,94 @@
      * not while it answers others, since then it is only busy and the prompt would be read once
      * more elsewhere; and not if nobody else could answer, or the request can't be sent again.
      */
-    public boolean isSilenceTelling(long now) {
-        return !mHandover.isAsked()
+    public boolean mayReplaceTarget(long now) {
+        return !mHandover.isPending()
                 && mRun.isSent()
                 && mayRunAgain(now)
-                && mRetries.hasRoom(mRequest.service(), 1, now)
-                && !mBook.isAlive(mRun.target(), now);
+                && mRetryBudget.hasAvailable(mRequest.service(), 1, now)
+                && !mTargets.isAlive(mRun.target(), now);
     }
 
     private Optional<Step.Send> askSuccessor(CutCause cause, long now) {
         return mayAskSuccessor(now)
-                ? askSuccessor(cause, mBook.choose(mRequest, barred(), now), now)
+                ? askSuccessor(cause, mTargets.choose(mRequest, excludedTargets(), now), now)
                 : Optional.empty();
     }
 
     /** Nothing is at work before the run is sent: it goes elsewhere if it can't be. */
     private boolean mayAskSuccessor(long now) {
-        return mRun != null && mRun.isSent() && !mHandover.isAsked() && mayRunAgain(now);
+        return mRun != null && mRun.isSent() && !mHandover.isPending() && mayRunAgain(now);
     }
 
     private Optional<Step.Send> askSuccessor(CutCause cause, Optional<Choice> choice, long now) {
         boolean inTime =
                 choice.isPresent()
-                        && choice.get().expectedMillis() <= mHandover.expectedWithin(cause);
-        if (!inTime || !takeRetry(now)) {
+                        && choice.get().expectedMillis() <= mHandover.maxExpectedMillis(cause);
+        if (!inTime || !acquireRetry(now)) {
             return Optional.empty();
         }
-        mHandover.ask(TargetRun.open(mBook, choice.get(), mRequest, now), cause);
-        return Optional.of(new Step.Send(choice.get(), mRequest.answerBy() - now, mLastEvent));
+        mHandover.ask(TargetRun.open(mTargets, choice.get(), mRequest, now), cause);
+        return Optional.of(
+                new Step.Send(choice.get(), mRequest.deadline() - now, mLastRelayedEvent));
     }
 
     /** Returns the step by which the successor, if there is one, is the run from now on. */
-    private Optional<Step> follow() {
-        if (!mHandover.isAsked()) {
+    private Optional<Step> switchToSuccessor() {
+        if (!mHandover.isPending()) {
             return Optional.empty();
         }
-        mRun = mHandover.take();
-        return Optional.of(new Step.Follow());
+        mRun = mHandover.takeSuccessor();
+        return Optional.of(new Step.AwaitSuccessor());
     }
 
-    private Step onRefusedUnrun(AnswerHead head, long now) {
-        noteRefusal(mRun, head, now);
-        mHistory.onUnfit(mRun.target());
-        boolean fromElsewhere = hasTimeLeft(now) && hasOtherTarget(now);
+    private Step onRefused(AnswerHead head, long now) {
+        recordRefusal(mRun, head, now);
+        mHistory.onUnavailable(mRun.target());
+        boolean mayRetry = hasTimeLeft(now) && hasOtherTarget(now);
         finishRun();
-        Optional<Step> next = follow();
+        Optional<Step> next = switchToSuccessor();
         if (next.isPresent()) {
             return next.get();
         }
-        if (mHeadPassed) {
-            return goOn(ResultCode.OVERLOADED, now);
+        if (mAnswerStarted) {
+            return resumeStream(ResultCode.OVERLOADED, now);
         }
-        if (fromElsewhere && takeRetry(now)) {
-            return choose(now);
+        if (mayRetry && acquireRetry(now)) {
+            return chooseTarget(now);
         }
-        return giveUp(ResultCode.OVERLOADED, "refused by " + mHistory.unfit(), now);
+        return refuseOrResume(ResultCode.OVERLOADED, "refused by " + mHistory.unavailable(), now);
     }
 
-    private void noteSending(TargetRun run) {
+    private void recordSending(TargetRun run) {
         run.onSending(mHistory.onRun(run.target()));
     }
 
-    private void noteRefusal(TargetRun run, AnswerHead head, long now) {
-        if (run.isFirstThere()) {
+    private void recordRefusal(TargetRun run, AnswerHead head, long now) {
+        if (run.isFirstOnTarget()) {
             mHistory.onNotRun(run.target());
         }
         if (head.wrongTarget()) {
-            mBook.onWrongTarget(run.target(), now);
+            mTargets.onWrongTarget(run.target(), now);
         } else {
-            mBook.onOverloaded(run.target(), now);
+            mTargets.onOverloaded(run.target(), now);
         }
     }
 
     /** Returns the step after a run has failed. */
-    private Step sendAgainOr(ResultCode why, long now) {
-        Optional<Step> next = follow();
+    private Step retryOrFail(ResultCode code, long now) {
+        Optional<Step> next = switchToSuccessor();
         if (next.isPresent()) {
             return next.get();
         }
-        if (mHeadPassed) {
-            return goOn(why, now);
+        if (mAnswerStarted) {
+            return resumeStream(code, now);
         }
-        Step end = new Step.Fail(why);
-        if (!mayRunAgain(now) || !takeRetry(now)) {
-            return end;
+        Step failure = new Step.Fail(code);
+        if (!mayRunAgain(now) || !acquireRetry(now)) {
+            return failure;
         }
-        Step step = choose(now);
-        return step instanceof Step.Refuse ? end : step;
+        Step step = chooseTarget(now);
+        return step instanceof Step.Refuse ? failure : step;
     }
 
     /**
@@ -470,124 +470,125 @@
      * wanting may be there in a moment (a second attempt, a target that is loading weights now): it
      * waits for that as long as its caller does.
      */
-    private Step goOn(ResultCode why, long now) {
-        mLost.onLost(now);
-        mLostBy = why;
+    private Step resumeStream(ResultCode code, long now) {
+        mResumeBackoff.onInterrupted(now);
+        mFailureCode = code;
         Route route = mRequest.route();
-        boolean mayGoOn =
+        boolean mayResume =
                 route.mayRunAgain()
                         && route.resumable()
                         && mHistory.mayRunAnywhere()
-                        && maySendOn(now)
+                        && maySend(now)
                         && hasTimeLeft(now);
-        if (!mayGoOn) {
-            return new Step.Break(mLostBy, mLeftBy);
+        if (!mayResume) {
+            return new Step.Abort(mFailureCode, mCutCause);
         }
-        if (mLost.mayTry(now) && hasOtherTarget(now) && takeRetry(now)) {
-            mLost.onTry(now);
-            return choose(now);
+        if (mResumeBackoff.mayAttempt(now) && hasOtherTarget(now) && acquireRetry(now)) {
+            mResumeBackoff.onAttempt(now);
+            return chooseTarget(now);
         }
-        return waitToGoOn(now);
+        return waitToResume(now);
     }
 
-    private Step waitToGoOn(long now) {
-        long patience = mRequest.route().callerPatienceMillis();
-        OptionalLong next = mLost.nextLook(patience, mRequest.answerBy(), now);
+    private Step waitToResume(long now) {
+        long callerTimeout = mRequest.route().callerPatienceMillis();
+        OptionalLong next = mResumeBackoff.nextCheckAt(callerTimeout, mRequest.deadline(), now);
         if (next.isEmpty()) {
-            return new Step.Break(mLostBy, mLeftBy);
+            return new Step.Abort(mFailureCode, mCutCause);
         }
         if (!hasOtherTarget(now)) {
-            mHistory.forgive();
+            mHistory.clearUnavailable();
         }
         return new Step.Wait(next.getAsLong());
     }
 
     private boolean mayRunAgain(long now) {
-        boolean mayGoOn = !mHeadPassed || mRequest.route().resumable();
+        boolean mayContinue = !mAnswerStarted || mRequest.route().resumable();
         return mRequest.route().mayRunAgain()
-                && mayGoOn
-                && maySendOn(now)
+                && mayContinue
+                && maySend(now)
                 && hasTimeLeft(now)
                 && hasOtherTarget(now);
     }
 
     /** Returns whether the request may be sent to a target, or to one more. */
-    private boolean maySendOn(long now) {
-        return mSuspects.maySendOn(mRequest.fingerprint(), mHistory.targets(), now);
+    private boolean maySend(long now) {
+        return mSuspects.maySend(mRequest.fingerprint(), mHistory.runCount(), now);
     }
 
     private boolean hasTimeLeft(long now) {
-        return now + MIN_MILLIS_LEFT < mRequest.answerBy();
+        return now + MIN_MILLIS_TO_RETRY < mRequest.deadline();
     }
 
     /** Returns whether a target other than the present ones could answer. */
     private boolean hasOtherTarget(long now) {
-        return mBook.hasOther(mRequest, barred(), now);
+        return mTargets.hasOther(mRequest, excludedTargets(), now);
     }
 
-    private Set<String> barred() {
-        Set<String> barred = mHistory.barred(mBook.targets());
+    private Set<String> excludedTargets() {
+        Set<String> excluded = mHistory.excludedTargets(mTargets.targets());
         if (mRun != null) {
-            barred.add(mRun.target());
+            excluded.add(mRun.target());
         }
-        if (mHandover.isAsked()) {
-            barred.add(mHandover.successor().target());
+        if (mHandover.isPending()) {
+            excluded.add(mHandover.successor().target());
         }
-        return barred;
+        return excluded;
     }
 
-    private boolean takeRetry(long now) {
-        return mRetries.tryTake(mRequest.service(), now);
+    private boolean acquireRetry(long now) {
+        return mRetryBudget.tryAcquire(mRequest.service(), now);
     }
 
-    private Step choose(long now) {
-        long left = mRequest.answerBy() - now;
+    private Step chooseTarget(long now) {
+        long left = mRequest.deadline() - now;
         if (left <= 0) {
-            return giveUp(ResultCode.DEADLINE_PASSED, "no target in time", now);
+            return refuseOrResume(ResultCode.DEADLINE_PASSED, "no target in time", now);
         }
-        if (!maySendOn(now)) {
+        if (!maySend(now)) {
             return refuse(mSuspects.refusal(mRequest.fingerprint(), now));
         }
-        Optional<Choice> choice = mBook.choose(mRequest, barred(), now);
-        boolean fresh = !mHeadPassed && mHistory.targets() == 0;
+        Optional<Choice> choice = mTargets.choose(mRequest, excludedTargets(), now);
+        boolean notRun = !mAnswerStarted && mHistory.runCount() == 0;
         if (choice.isPresent()
-                && fresh
+                && notRun
                 && !Admission.admits(mRequest, choice.get().admissionMillis())) {
-            return giveUp(ResultCode.OVERLOADED, Admission.whyRefused(mRequest, choice.get()), now);
+            return refuseOrResume(
+                    ResultCode.OVERLOADED, Admission.refusalDetail(mRequest, choice.get()), now);
         }
         if (choice.isPresent()
-                && fresh
+                && notRun
                 && !mShutdown.admits(mRequest, choice.get().expectedMillis(), now)) {
             return mShutdown.refusal(now);
         }
         if (choice.isPresent()) {
-            mRun = TargetRun.open(mBook, choice.get(), mRequest, now);
-            return new Step.Send(choice.get(), left, mLastEvent);
+            mRun = TargetRun.open(mTargets, choice.get(), mRequest, now);
+            return new Step.Send(choice.get(), left, mLastRelayedEvent);
         }
         long waitUntil = mRequest.arrivedAt() + mRequest.route().objectiveMillis() / WAIT_DIVISOR;
-        if (!mHeadPassed && now + WAIT_STEP_MILLIS < Math.min(waitUntil, mRequest.answerBy())) {
-            mHistory.forgive();
-            return new Step.Wait(now + WAIT_STEP_MILLIS);
+        if (!mAnswerStarted && now + POLL_MILLIS < Math.min(waitUntil, mRequest.deadline())) {
+            mHistory.clearUnavailable();
+            return new Step.Wait(now + POLL_MILLIS);
         }
-        return giveUp(ResultCode.NO_TARGET, "none but " + mHistory.unfit(), now);
+        return refuseOrResume(ResultCode.NO_TARGET, "none but " + mHistory.unavailable(), now);
     }
 
-    private Step giveUp(ResultCode code, String why, long now) {
-        return mHeadPassed
-                ? goOn(code, now)
-                : refuse(new Step.Refuse(code, mBook.retryAfterMillis(mRequest, now), why));
+    private Step refuseOrResume(ResultCode code, String detail, long now) {
+        return mAnswerStarted
+                ? resumeStream(code, now)
+                : refuse(new Step.Refuse(code, mTargets.retryAfterMillis(mRequest, now), detail));
     }
 
-    private Step refuse(Step.Refuse unrun) {
-        if (mHeadPassed) {
-            return new Step.Break(unrun.code(), mLeftBy);
+    private Step refuse(Step.Refuse refusal) {
+        if (mAnswerStarted) {
+            return new Step.Abort(refusal.code(), mCutCause);
         }
-        return mHistory.targets() > 0 ? new Step.Fail(ResultCode.TARGET_LOST) : unrun;
+        return mHistory.runCount() > 0 ? new Step.Fail(ResultCode.TARGET_LOST) : refusal;
     }
 
     private void finishAll() {
         finishRun();
-        mHandover.end();
+        mHandover.finish();
     }
 
     private void finishRun() {
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/Handover.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/Handover.java
@@ -23,18 +23,18 @@
  */
 final class Handover {
     /** The part of the longest pause that is on time; what is left of it is for the way. */
-    private static final double ON_TIME_PAUSES = 0.8;
+    private static final double MOVE_START_PAUSES = 0.8;
 
     /**
      * A successor that was expected in time may still begin up to then. Given up sooner, within the
      * pause that is on time, 64 of 146 were asked for nothing, not 15 of 134 (two days played).
      */
-    private static final double HOLD_PAUSES = 2;
+    private static final double MAX_HOLD_PAUSES = 2;
 
     private final Route mRoute;
     private TargetRun mSuccessor;
     private CutCause mCause = CutCause.MOVE;
-    private boolean mStays;
+    private boolean mMoveFailed;
 
     Handover(Route route) {
         mRoute = route;
@@ -47,7 +47,7 @@
     }
 
     /** Returns whether a successor is asked that hasn't begun yet. */
-    boolean isAsked() {
+    boolean isPending() {
         return mSuccessor != null;
     }
 
@@ -62,20 +62,20 @@
     }
 
     /** Returns the successor as the run from now on; null if none is asked. */
-    TargetRun take() {
+    TargetRun takeSuccessor() {
         TargetRun taken = mSuccessor;
         mSuccessor = null;
         return taken;
     }
 
     /** Gives the successor up; a move that failed isn't tried again. */
-    void drop() {
-        mStays |= mCause == CutCause.MOVE;
-        end();
+    void discard() {
+        mMoveFailed |= mCause == CutCause.MOVE;
+        finish();
     }
 
     /** Notes that the request is over. */
-    void end() {
+    void finish() {
         if (mSuccessor != null) {
             mSuccessor.finish();
             mSuccessor = null;
@@ -84,7 +84,7 @@
 
     /** Returns whether the stream may still be moved by choice. */
     boolean mayMove() {
-        return !mStays;
+        return !mMoveFailed;
     }
 
     /**
@@ -92,21 +92,21 @@
      * event that was passed when it was asked. A run that was silent and speaks again needs none.
      */
     boolean holdsEvents() {
-        return isAsked() && mCause != CutCause.SILENCE;
+        return isPending() && mCause != CutCause.SILENCE;
     }
 
     /** Returns how long after the last event that was passed on the next ones may be held. */
     long holdMillis() {
-        return Math.round(HOLD_PAUSES * mRoute.pauseMillis());
+        return Math.round(MAX_HOLD_PAUSES * mRoute.pauseMillis());
     }
 
     /**
      * Returns within what time a successor has to be expected: a wish makes no answer late, and a
      * run that is silent has no events to hold.
      */
-    long expectedWithin(CutCause cause) {
+    long maxExpectedMillis(CutCause cause) {
         return switch (cause) {
-            case MOVE -> Math.round(ON_TIME_PAUSES * mRoute.pauseMillis());
+            case MOVE -> Math.round(MOVE_START_PAUSES * mRoute.pauseMillis());
             case SHUTDOWN -> holdMillis();
             default -> Long.MAX_VALUE;
         };
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/KeyLease.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/KeyLease.java
@@ -24,21 +24,21 @@
  * that was accepted before then is known here.
  */
 public final class KeyLease {
-    private final long mMillis;
+    private final long mDurationMillis;
     private long mConfirmedAt = Long.MIN_VALUE;
 
-    private KeyLease(long millis) {
-        mMillis = millis;
+    private KeyLease(long durationMillis) {
+        mDurationMillis = durationMillis;
     }
 
     /**
      * Returns a lease that isn't granted yet.
      *
-     * @param millis how long it lasts; shorter than the bound for withdrawn keys, by more than a
-     *     request takes to reach its target
+     * @param durationMillis how long it lasts; shorter than the bound for withdrawn keys, by more
+     *     than a request takes to reach its target
      */
-    public static KeyLease ofMillis(long millis) {
-        return new KeyLease(millis);
+    public static KeyLease ofMillis(long durationMillis) {
+        return new KeyLease(durationMillis);
     }
 
     /** Notes an answer to the question that was sent at the given time. */
@@ -53,13 +53,13 @@
 
     /** Returns whether keys may be taken for good at {@code now}. */
     public boolean isValid(long now) {
-        return mConfirmedAt != Long.MIN_VALUE && now - mConfirmedAt < mMillis;
+        return mConfirmedAt != Long.MIN_VALUE && now - mConfirmedAt < mDurationMillis;
     }
 
     /**
      * Returns the time since the last confirmed question was sent, {@link Long#MAX_VALUE} if none.
      */
-    public long age(long now) {
+    public long ageMillis(long now) {
         return mConfirmedAt == Long.MIN_VALUE ? Long.MAX_VALUE : now - mConfirmedAt;
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/LeaseClock.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/LeaseClock.java
@@ -25,11 +25,11 @@
  */
 public final class LeaseClock {
     /** A smaller gain is that of a clock that is adjusted, or of the time between two readings. */
-    static final long LEAST_GAIN_MILLIS = 100;
+    static final long MIN_JUMP_MILLIS = 100;
 
-    private long mSuspended;
-    private long mAhead;
-    private boolean mRead;
+    private long mSuspendedMillis;
+    private long mWallClockOffset;
+    private boolean mInitialized;
 
     private LeaseClock() {}
 
@@ -41,17 +41,17 @@
     /**
      * Returns the present time in milliseconds; it never goes back.
      *
-     * @param steady the steady clock's time
-     * @param timeOfDay the time of day, read after it
+     * @param monotonicMillis the steady clock's time
+     * @param wallClockMillis the time of day, read after it
      */
-    public synchronized long now(long steady, long timeOfDay) {
-        long ahead = timeOfDay - steady;
-        long gain = ahead - mAhead;
-        if (mRead && gain >= LEAST_GAIN_MILLIS) {
-            mSuspended += gain;
+    public synchronized long now(long monotonicMillis, long wallClockMillis) {
+        long offset = wallClockMillis - monotonicMillis;
+        long jump = offset - mWallClockOffset;
+        if (mInitialized && jump >= MIN_JUMP_MILLIS) {
+            mSuspendedMillis += jump;
         }
-        mAhead = ahead;
-        mRead = true;
-        return steady + mSuspended;
+        mWallClockOffset = offset;
+        mInitialized = true;
+        return monotonicMillis + mSuspendedMillis;
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/CrashLedger.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/PoisonRequestDetector.java
@@ -30,48 +30,48 @@
  * <p>A crash ends all that a target works on, so that each request there is a suspect. Of several
  * suspects of one crash the one that was at most crashes explains it, and the others are not
  * counted for it. A request that has run to its end shortly before a crash, or after it, did not
- * cause it. The request that remains as the explanation of {@link #CRASHES} crashes is refused
- * everywhere for a while, unless others turn out to explain all of them. After that time a single
- * crash is enough, and each refusal lasts longer than the one before.
+ * cause it. The request that remains as the explanation of {@link #MIN_CRASHES_TO_REFUSE} crashes
+ * is refused everywhere for a while, unless others turn out to explain all of them. After that time
+ * a single crash is enough, and each refusal lasts longer than the one before.
  *
  * <p>Instances that tell each other their evidence and their refusals come to the same conclusions,
  * in whatever order these came. The evidence is bounded: the oldest is dropped first.
  */
-public final class CrashLedger {
+public final class PoisonRequestDetector {
     /** So many crashes that nothing else explains are a request's own. */
-    static final int CRASHES = 3;
+    static final int MIN_CRASHES_TO_REFUSE = 3;
 
     /** A request that ran to its end this long before a crash at the most is not its cause. */
-    static final long HARMLESS_MILLIS = 10_000;
+    static final long RECENT_COMPLETION_MILLIS = 10_000;
 
     static final long FIRST_REFUSAL_MILLIS = 5 * 60_000;
-    static final long LONGEST_REFUSAL_MILLIS = 24 * 60 * 60_000;
+    static final long MAX_REFUSAL_MILLIS = 24 * 60 * 60_000;
 
     static final int MAX_CRASHES = 256;
     static final int MAX_REQUESTS = 1024;
-    static final int MAX_REQUESTS_OF_A_CRASH = 512;
+    static final int MAX_REQUESTS_PER_CRASH = 512;
 
-    private static final int REFUSAL_GROWTH = 6;
+    private static final int REFUSAL_GROWTH_FACTOR = 6;
 
     /** From so many crashes on it matters to all whether a request runs to its end. */
-    private static final int WATCHED_CRASHES = 2;
+    private static final int MIN_CRASHES_TO_WATCH = 2;
 
     /** For so long after a request's last crash it matters. */
-    private static final long WATCHED_MILLIS = 60_000;
+    private static final long WATCH_MILLIS = 60_000;
 
     /** Two tellings of one refusal differ by the time that they took. */
-    private static final long TELLING_MILLIS = 1000;
+    private static final long MAX_REPORT_SKEW_MILLIS = 1000;
 
     private final Map<String, TargetCrash> mCrashes = new LinkedHashMap<>();
     private final Map<RequestFingerprint, Long> mCompletedAt = new LinkedHashMap<>();
     private final Map<RequestFingerprint, Suspect> mRefused = new LinkedHashMap<>();
     private Map<RequestFingerprint, Suspect> mSuspects = Map.of();
 
-    private CrashLedger() {}
+    private PoisonRequestDetector() {}
 
     /** Returns a ledger without evidence. */
-    public static CrashLedger create() {
-        return new CrashLedger();
+    public static PoisonRequestDetector create() {
+        return new PoisonRequestDetector();
     }
 
     /** Takes a crash, or what more is known of one; returns whether it is news. */
@@ -82,12 +82,13 @@
             requests.addAll(known.requests());
         }
         crash.requests().stream()
-                .limit(MAX_REQUESTS_OF_A_CRASH - requests.size())
+                .limit(MAX_REQUESTS_PER_CRASH - requests.size())
                 .forEach(requests::add);
         if (known != null && requests.size() == known.requests().size()) {
             return false;
         }
-        long at = known == null ? crash.at() : Math.min(known.at(), crash.at());
+        long at =
+                known == null ? crash.crashedAt() : Math.min(known.crashedAt(), crash.crashedAt());
         mCrashes.put(crash.target(), new TargetCrash(crash.target(), Set.copyOf(requests), at));
         dropOldest(mCrashes, MAX_CRASHES);
         return true;
@@ -110,32 +111,34 @@
      * Takes a conclusion of another instance, or of this one before a restart; returns whether it
      * is news.
      */
-    public boolean onSuspect(Suspect told) {
-        Suspect known = mRefused.get(told.request());
-        boolean news =
-                told.standing() == Suspect.Standing.REFUSED
-                        && (known == null || known.until() + TELLING_MILLIS < told.until());
-        if (news) {
-            mRefused.put(told.request(), told);
+    public boolean onSuspect(Suspect received) {
+        Suspect known = mRefused.get(received.request());
+        boolean isNew =
+                received.standing() == Suspect.Standing.REFUSED
+                        && (known == null
+                                || known.refusedUntil() + MAX_REPORT_SKEW_MILLIS
+                                        < received.refusedUntil());
+        if (isNew) {
+            mRefused.put(received.request(), received);
             dropOldest(mRefused, MAX_REQUESTS);
         }
-        return news;
+        return isNew;
     }
 
     /** Draws the conclusions from the evidence; returns those that have changed. */
-    public List<Suspect> conclude(long now) {
-        Evidence evidence = evidence();
+    public List<Suspect> evaluate(long now) {
+        Evidence evidence = collectEvidence();
         Set<RequestFingerprint> requests = new HashSet<>(mRefused.keySet());
-        evidence.crashesOf()
+        evidence.crashesByRequest()
                 .forEach(
                         (request, crashes) -> {
-                            if (crashes.size() >= WATCHED_CRASHES) {
+                            if (crashes.size() >= MIN_CRASHES_TO_WATCH) {
                                 requests.add(request);
                             }
                         });
         Map<RequestFingerprint, Suspect> suspects = new HashMap<>();
         for (RequestFingerprint request : requests) {
-            judge(request, evidence, now).ifPresent(s -> suspects.put(request, s));
+            evaluateRequest(request, evidence, now).ifPresent(s -> suspects.put(request, s));
         }
         List<Suspect> changes = new ArrayList<>();
         for (Suspect suspect : suspects.values()) {
@@ -167,44 +170,47 @@
         return Map.copyOf(mCompletedAt);
     }
 
-    private Optional<Suspect> judge(RequestFingerprint request, Evidence evidence, long now) {
-        Set<String> own = unexplained(request, evidence);
+    private Optional<Suspect> evaluateRequest(
+            RequestFingerprint request, Evidence evidence, long now) {
+        Set<String> attributed = attributedCrashes(request, evidence);
         Suspect refused = mRefused.get(request);
-        if (refused == null && own.size() < CRASHES || own.isEmpty()) {
+        if (refused == null && attributed.size() < MIN_CRASHES_TO_REFUSE || attributed.isEmpty()) {
             mRefused.remove(request);
-            return watched(request, evidence, now);
+            return watchedSuspect(request, evidence, now);
         }
         if (refused == null) {
-            return Optional.of(refusal(request, own, 1, now));
+            return Optional.of(refuse(request, attributed, 1, now));
         }
         return Optional.of(
-                hasCrashedSince(refused, own)
-                        ? refusal(request, own, refused.refusals() + 1, now)
+                hasCrashedAfterRefusal(refused, attributed)
+                        ? refuse(request, attributed, refused.refusals() + 1, now)
                         : refused);
     }
 
-    private Optional<Suspect> watched(RequestFingerprint request, Evidence evidence, long now) {
-        Set<String> crashes = evidence.of(request);
-        boolean matters =
-                crashes.size() >= WATCHED_CRASHES
+    private Optional<Suspect> watchedSuspect(
+            RequestFingerprint request, Evidence evidence, long now) {
+        Set<String> crashes = evidence.candidateCrashes(request);
+        boolean isWatched =
+                crashes.size() >= MIN_CRASHES_TO_WATCH
                         && crashes.stream()
-                                .anyMatch(t -> now - mCrashes.get(t).at() < WATCHED_MILLIS);
-        return matters
+                                .anyMatch(t -> now - mCrashes.get(t).crashedAt() < WATCH_MILLIS);
+        return isWatched
                 ? Optional.of(new Suspect(request, Suspect.Standing.WATCHED, Set.of(), 0, 0))
                 : Optional.empty();
     }
 
-    private Suspect refusal(RequestFingerprint request, Set<String> own, int refusals, long now) {
+    private Suspect refuse(
+            RequestFingerprint request, Set<String> attributed, int refusals, long now) {
         long millis = FIRST_REFUSAL_MILLIS;
-        for (int i = 1; i < refusals && millis < LONGEST_REFUSAL_MILLIS; i++) {
-            millis *= REFUSAL_GROWTH;
+        for (int i = 1; i < refusals && millis < MAX_REFUSAL_MILLIS; i++) {
+            millis *= REFUSAL_GROWTH_FACTOR;
         }
         Suspect suspect =
                 new Suspect(
                         request,
                         Suspect.Standing.REFUSED,
-                        Set.copyOf(own),
-                        now + Math.min(millis, LONGEST_REFUSAL_MILLIS),
+                        Set.copyOf(attributed),
+                        now + Math.min(millis, MAX_REFUSAL_MILLIS),
                         refusals);
         mRefused.put(request, suspect);
         dropOldest(mRefused, MAX_REQUESTS);
@@ -212,19 +218,19 @@
     }
 
     /** Returns whether a request was sent on again and crashed one more target. */
-    private boolean hasCrashedSince(Suspect refused, Set<String> own) {
-        return own.stream()
+    private boolean hasCrashedAfterRefusal(Suspect refused, Set<String> attributed) {
+        return attributed.stream()
                 .map(mCrashes::get)
-                .anyMatch(crash -> crash != null && crash.at() >= refused.until());
+                .anyMatch(crash -> crash != null && crash.crashedAt() >= refused.refusedUntil());
     }
 
     /** Returns the crashes that a request was at and that no other one explains better. */
-    private Set<String> unexplained(RequestFingerprint request, Evidence evidence) {
-        Set<String> crashes = evidence.of(request);
-        Set<String> unexplained = new HashSet<>();
+    private Set<String> attributedCrashes(RequestFingerprint request, Evidence evidence) {
+        Set<String> crashes = evidence.candidateCrashes(request);
+        Set<String> attributed = new HashSet<>();
         for (String target : crashes) {
-            if (evidence.mostCrashes().get(target) <= crashes.size()) {
-                unexplained.add(target);
+            if (evidence.maxCrashesByTarget().get(target) <= crashes.size()) {
+                attributed.add(target);
             }
         }
         Suspect refused = mRefused.get(request);
@@ -232,30 +238,33 @@
             // Evidence that was dropped meanwhile, or that another instance holds.
             refused.targets().stream()
                     .filter(target -> !mCrashes.containsKey(target))
-                    .forEach(unexplained::add);
+                    .forEach(attributed::add);
         }
-        return unexplained;
+        return attributed;
     }
 
-    private Evidence evidence() {
-        Map<RequestFingerprint, Set<String>> crashesOf = new HashMap<>();
+    private Evidence collectEvidence() {
+        Map<RequestFingerprint, Set<String>> crashesByRequest = new HashMap<>();
         for (TargetCrash crash : mCrashes.values()) {
             for (RequestFingerprint request : crash.requests()) {
                 Long completedAt = mCompletedAt.get(request);
-                if (completedAt == null || completedAt < crash.at() - HARMLESS_MILLIS) {
-                    crashesOf.computeIfAbsent(request, r -> new HashSet<>()).add(crash.target());
+                if (completedAt == null
+                        || completedAt < crash.crashedAt() - RECENT_COMPLETION_MILLIS) {
+                    crashesByRequest
+                            .computeIfAbsent(request, r -> new HashSet<>())
+                            .add(crash.target());
                 }
             }
         }
-        Map<String, Integer> mostCrashes = new HashMap<>();
-        for (Set<String> crashes : crashesOf.values()) {
-            crashes.forEach(target -> mostCrashes.merge(target, crashes.size(), Math::max));
+        Map<String, Integer> maxCrashesByTarget = new HashMap<>();
+        for (Set<String> crashes : crashesByRequest.values()) {
+            crashes.forEach(target -> maxCrashesByTarget.merge(target, crashes.size(), Math::max));
         }
-        return new Evidence(crashesOf, mostCrashes);
+        return new Evidence(crashesByRequest, maxCrashesByTarget);
     }
 
-    private static <K, V> void dropOldest(Map<K, V> entries, int most) {
-        while (entries.size() > most) {
+    private static <K, V> void dropOldest(Map<K, V> entries, int maxSize) {
+        while (entries.size() > maxSize) {
             entries.remove(entries.keySet().iterator().next());
         }
     }
@@ -263,14 +272,15 @@
     /**
      * What speaks against requests.
      *
-     * @param crashesOf the targets whose crashes each request may have caused
-     * @param mostCrashes by target, at how many crashes that suspect of its own was that was at
-     *     most
+     * @param crashesByRequest the targets whose crashes each request may have caused
+     * @param maxCrashesByTarget by target, at how many crashes that suspect of its own was that was
+     *     at most
      */
     private record Evidence(
-            Map<RequestFingerprint, Set<String>> crashesOf, Map<String, Integer> mostCrashes) {
-        Set<String> of(RequestFingerprint request) {
-            return crashesOf.getOrDefault(request, Set.of());
+            Map<RequestFingerprint, Set<String>> crashesByRequest,
+            Map<String, Integer> maxCrashesByTarget) {
+        Set<String> candidateCrashes(RequestFingerprint request) {
+            return crashesByRequest.getOrDefault(request, Set.of());
         }
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/RestartWord.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/RestartReport.java
@@ -24,31 +24,31 @@
  * <p>Whoever reports under a target's id with a later birth makes that word, and needn't be right.
  * A target that has ended sends nothing, but for what was on its way.
  *
- * @param toldAt when the word came
+ * @param receivedAt when the word came
  */
-public record RestartWord(long toldAt) {
+public record RestartReport(long receivedAt) {
     /**
      * Milliseconds without a sign after which the word is believed, and after which what comes
      * can't have been on its way when the word came: as long as a target that was heard counts as
      * alive.
      */
-    static final long JUDGED_MILLIS = TargetBook.ALIVE_MILLIS;
+    static final long VERIFICATION_MILLIS = TargetBook.ALIVE_MILLIS;
 
     /**
      * Returns whether the target goes on with its answer: then its silence counts as anyone's.
      *
-     * @param heardAt when it was heard last on this answer
+     * @param lastDataAt when it was heard last on this answer
      */
-    public boolean isWrong(long heardAt) {
-        return heardAt - toldAt >= JUDGED_MILLIS;
+    public boolean isRefuted(long lastDataAt) {
+        return lastDataAt - receivedAt >= VERIFICATION_MILLIS;
     }
 
     /**
      * Returns when the word is believed if nothing more is heard.
      *
-     * @param heardAt when the target was heard last on this answer
+     * @param lastDataAt when the target was heard last on this answer
      */
-    public long believedAt(long heardAt) {
-        return Math.max(toldAt, heardAt) + JUDGED_MILLIS;
+    public long acceptedAt(long lastDataAt) {
+        return Math.max(receivedAt, lastDataAt) + VERIFICATION_MILLIS;
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/LostStream.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/ResumeBackoff.java
@@ -23,57 +23,57 @@
  * <p>Each try takes a second attempt that all requests share. Those that are in vain come at longer
  * and longer distances, as long as the stream's caller waits.
  */
-final class LostStream {
-    private static final long STEP_MILLIS = 20;
+final class ResumeBackoff {
+    private static final long POLL_MILLIS = 20;
 
     /** Only these may follow each other at once. */
-    private static final int TRIES_AT_ONCE = 2;
+    private static final int IMMEDIATE_ATTEMPTS = 2;
 
     private static final int MAX_DOUBLINGS = 5;
 
-    private boolean mLost;
-    private long mLostAt;
-    private int mTries;
-    private long mNextTryAt;
+    private boolean mInterrupted;
+    private long mInterruptedAt;
+    private int mAttempts;
+    private long mNextAttemptAt;
 
     /** Notes that its target is lost, or the one that was to go on. */
-    void onLost(long now) {
-        if (!mLost) {
-            mLost = true;
-            mLostAt = now;
-            mTries = 0;
-            mNextTryAt = now;
+    void onInterrupted(long now) {
+        if (!mInterrupted) {
+            mInterrupted = true;
+            mInterruptedAt = now;
+            mAttempts = 0;
+            mNextAttemptAt = now;
         }
     }
 
     /** Notes that its events come again. */
     void onEvent() {
-        mLost = false;
+        mInterrupted = false;
     }
 
     /** Notes that it is sent to another target. */
-    void onTry(long now) {
-        mTries++;
-        if (mTries >= TRIES_AT_ONCE) {
-            mNextTryAt = now + (STEP_MILLIS << Math.min(mTries, MAX_DOUBLINGS));
+    void onAttempt(long now) {
+        mAttempts++;
+        if (mAttempts >= IMMEDIATE_ATTEMPTS) {
+            mNextAttemptAt = now + (POLL_MILLIS << Math.min(mAttempts, MAX_DOUBLINGS));
         }
     }
 
     /** Returns whether it may be sent to another target now. */
-    boolean mayTry(long now) {
-        return now >= mNextTryAt;
+    boolean mayAttempt(long now) {
+        return now >= mNextAttemptAt;
     }
 
     /**
      * Returns when to look next whether it can go on, empty if its caller has waited long enough.
      *
-     * @param patienceMillis for how long its caller waits for an event
-     * @param answerBy when its own time is over
+     * @param callerTimeoutMillis for how long its caller waits for an event
+     * @param deadline when its own time is over
      */
-    OptionalLong nextLook(long patienceMillis, long answerBy, long now) {
-        long until = Math.min(mLostAt + patienceMillis, answerBy);
-        return now + STEP_MILLIS >= until
+    OptionalLong nextCheckAt(long callerTimeoutMillis, long deadline, long now) {
+        long until = Math.min(mInterruptedAt + callerTimeoutMillis, deadline);
+        return now + POLL_MILLIS >= until
                 ? OptionalLong.empty()
-                : OptionalLong.of(Math.min(Math.max(now + STEP_MILLIS, mNextTryAt), until));
+                : OptionalLong.of(Math.min(Math.max(now + POLL_MILLIS, mNextAttemptAt), until));
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/RetryBudget.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/RetryBudget.java
@@ -22,42 +22,42 @@
  * <p>Each request adds the share to a reserve of limited size, each retry takes one from it.
  */
 public final class RetryBudget {
-    private final double mShare;
-    private final double mLimit;
-    private double mReserve;
+    private final double mTokensPerRequest;
+    private final double mMaxTokens;
+    private double mTokens;
 
-    private RetryBudget(double share, double limit) {
-        mShare = share;
-        mLimit = limit;
-        mReserve = limit;
+    private RetryBudget(double tokensPerRequest, double maxTokens) {
+        mTokensPerRequest = tokensPerRequest;
+        mMaxTokens = maxTokens;
+        mTokens = maxTokens;
     }
 
     /**
      * Returns a budget with a full reserve.
      *
-     * @param share retries allowed for each request in the long run
-     * @param limit retries allowed at once after a quiet time
+     * @param tokensPerRequest retries allowed for each request in the long run
+     * @param maxTokens retries allowed at once after a quiet time
      */
-    public static RetryBudget create(double share, double limit) {
-        return new RetryBudget(share, limit);
+    public static RetryBudget create(double tokensPerRequest, double maxTokens) {
+        return new RetryBudget(tokensPerRequest, maxTokens);
     }
 
     /** Notes a new request. */
     public synchronized void onRequest() {
-        mReserve = Math.min(mLimit, mReserve + mShare);
+        mTokens = Math.min(mMaxTokens, mTokens + mTokensPerRequest);
     }
 
     /** Takes one retry from the reserve; returns false, and takes nothing, if there is none. */
-    public synchronized boolean tryRetry() {
-        if (mReserve < 1) {
+    public synchronized boolean tryAcquire() {
+        if (mTokens < 1) {
             return false;
         }
-        mReserve -= 1;
+        mTokens -= 1;
         return true;
     }
 
     /** Gives back what was taken for a retry that has not run. */
-    public synchronized void giveBack() {
-        mReserve = Math.min(mLimit, mReserve + 1);
+    public synchronized void release() {
+        mTokens = Math.min(mMaxTokens, mTokens + 1);
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/RunTimes.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/RunDurationBound.java
@@ -18,12 +18,12 @@
 import java.util.OptionalDouble;
 
 /** The slowest of the last runs of one kind, with a margin for those that are slower still. */
-final class RunTimes {
+final class RunDurationBound {
     /** Some minutes of one instance's streams; a slow engine is forgotten with them. */
-    private static final int KEPT_RUNS = 256;
+    private static final int MAX_SAMPLES = 256;
 
     /** Before so many whole runs were seen, nothing is taken as learnt. */
-    private static final int ENOUGH_RUNS = 40;
+    private static final int MIN_COMPLETED_RUNS = 40;
 
     /**
      * Lengths are spread over a factor of four above their median (log-normal, sigma 0.7, cut off
@@ -32,43 +32,43 @@
      */
     private static final double MARGIN = 1.5;
 
-    private final double[] mMillis = new double[KEPT_RUNS];
-    private int mKept;
-    private int mWhole;
+    private final double[] mDurations = new double[MAX_SAMPLES];
+    private int mSamples;
+    private int mCompletedRuns;
 
     /** Takes how long a run lasted, in milliseconds of whatever its kind is measured by. */
-    void onEnded(double millis) {
-        mWhole++;
-        keep(millis);
+    void onCompleted(double millis) {
+        mCompletedRuns++;
+        addSample(millis);
     }
 
     /**
      * Takes how long a run lasted until it broke off: one that is shorter than others tells nothing
      * of how long runs last.
      */
-    void onBrokenOff(double millis) {
-        if (millis > slowest()) {
-            keep(millis);
+    void onInterrupted(double millis) {
+        if (millis > longest()) {
+            addSample(millis);
         }
     }
 
     /** Returns how long a run lasts at most; nothing as long as too few were seen. */
-    OptionalDouble most() {
-        return mWhole < ENOUGH_RUNS
+    OptionalDouble upperBound() {
+        return mCompletedRuns < MIN_COMPLETED_RUNS
                 ? OptionalDouble.empty()
-                : OptionalDouble.of(slowest() * MARGIN);
+                : OptionalDouble.of(longest() * MARGIN);
     }
 
-    private void keep(double millis) {
-        mMillis[mKept % KEPT_RUNS] = millis;
-        mKept++;
+    private void addSample(double millis) {
+        mDurations[mSamples % MAX_SAMPLES] = millis;
+        mSamples++;
     }
 
-    private double slowest() {
-        double slowest = 0;
-        for (int i = 0; i < Math.min(mKept, KEPT_RUNS); i++) {
-            slowest = Math.max(slowest, mMillis[i]);
+    private double longest() {
+        double longest = 0;
+        for (int i = 0; i < Math.min(mSamples, MAX_SAMPLES); i++) {
+            longest = Math.max(longest, mDurations[i]);
         }
-        return slowest;
+        return longest;
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/RunHistory.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/RunHistory.java
@@ -28,9 +28,9 @@
  */
 final class RunHistory {
     private final int mMaxTargets;
-    private final Set<String> mRan = new HashSet<>();
-    private final Set<String> mLeftAtWork = new HashSet<>();
-    private final Set<String> mUnfit = new HashSet<>();
+    private final Set<String> mRunTargets = new HashSet<>();
+    private final Set<String> mLeftRunning = new HashSet<>();
+    private final Set<String> mUnavailable = new HashSet<>();
 
     /**
      * Makes a history without runs.
@@ -43,64 +43,64 @@
 
     /** Notes that a target runs the request, or may; returns whether it is the first time. */
     boolean onRun(String target) {
-        return mRan.add(target);
+        return mRunTargets.add(target);
     }
 
     /** Notes that a target has not run the request, though it was sent there. */
     void onNotRun(String target) {
-        mRan.remove(target);
+        mRunTargets.remove(target);
     }
 
     /** Notes that a target was left though it may be at work. */
-    void onLeftAtWork(String target) {
-        mLeftAtWork.add(target);
+    void onLeftRunning(String target) {
+        mLeftRunning.add(target);
     }
 
     /** Notes that a target can't be reached, or refused the request: another time it may not. */
-    void onUnfit(String target) {
-        mUnfit.add(target);
+    void onUnavailable(String target) {
+        mUnavailable.add(target);
     }
 
     /** Notes that a target failed the request. */
     void onFailed(String target) {
-        mLeftAtWork.remove(target);
-        mUnfit.add(target);
+        mLeftRunning.remove(target);
+        mUnavailable.add(target);
     }
 
     /** Gives those that refused or failed another chance, as far as they may run the request. */
-    void forgive() {
-        mUnfit.clear();
+    void clearUnavailable() {
+        mUnavailable.clear();
     }
 
     /** Returns at how many targets the request has run, or may have. */
-    int targets() {
-        return mRan.size();
+    int runCount() {
+        return mRunTargets.size();
     }
 
     /** Returns those that were found unfit, for the log. */
-    Set<String> unfit() {
-        return Set.copyOf(mUnfit);
+    Set<String> unavailable() {
+        return Set.copyOf(mUnavailable);
     }
 
     /** Returns whether one more target may run the request. */
-    boolean mayRunAtAnother() {
-        return mRan.size() < mMaxTargets;
+    boolean mayRunOnAnother() {
+        return mRunTargets.size() < mMaxTargets;
     }
 
     /** Returns whether any target may run the request, once it is fit. */
     boolean mayRunAnywhere() {
-        return mayRunAtAnother() || !mLeftAtWork.isEmpty();
+        return mayRunOnAnother() || !mLeftRunning.isEmpty();
     }
 
     /** Returns who may not run the request, of all targets that are known. */
-    Set<String> barred(Collection<TargetState> known) {
-        Set<String> barred = new HashSet<>(mUnfit);
+    Set<String> excludedTargets(Collection<TargetState> known) {
+        Set<String> excluded = new HashSet<>(mUnavailable);
         for (TargetState target : known) {
-            boolean mayRun = mLeftAtWork.contains(target.id()) || mayRunAtAnother();
+            boolean mayRun = mLeftRunning.contains(target.id()) || mayRunOnAnother();
             if (!mayRun) {
-                barred.add(target.id());
+                excluded.add(target.id());
             }
         }
-        return barred;
+        return excluded;
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/RetryAllowance.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/ServiceRetryBudget.java
@@ -24,23 +24,24 @@
  * <p>In any window of time, a service may get a share of its requests as second attempts, and a
  * fixed number besides, which the instances divide among them.
  */
-public final class RetryAllowance {
+public final class ServiceRetryBudget {
     private static final int BUCKETS = 20;
 
     /**
      * The part of the allowance that is used: other instances may count one less than there are.
      */
-    private static final double USED_PART = 0.8;
+    private static final double USED_FRACTION = 0.8;
 
-    private final double mRatio;
-    private final double mFixed;
+    private final double mRetriesPerRequest;
+    private final double mFixedRetries;
     private final long mBucketMillis;
     private final Map<String, Window> mWindows = new HashMap<>();
     private int mInstances;
 
-    private RetryAllowance(double ratio, double fixed, long windowMillis, int instances) {
-        mRatio = ratio;
-        mFixed = fixed;
+    private ServiceRetryBudget(
+            double retriesPerRequest, double fixedRetries, long windowMillis, int instances) {
+        mRetriesPerRequest = retriesPerRequest;
+        mFixedRetries = fixedRetries;
         mBucketMillis = Math.max(1, windowMillis / BUCKETS);
         mInstances = instances;
     }
@@ -48,45 +49,45 @@
     /**
      * Returns an allowance of which nothing is used.
      *
-     * @param ratio second attempts for each request
-     * @param fixed second attempts in a window besides, for all instances together
+     * @param retriesPerRequest second attempts for each request
+     * @param fixedRetries second attempts in a window besides, for all instances together
      * @param windowMillis the length of a window
      * @param instances how many instances divide the fixed part as long as nothing is known
      */
-    public static RetryAllowance create(
-            double ratio, double fixed, long windowMillis, int instances) {
-        return new RetryAllowance(ratio, fixed, windowMillis, instances);
+    public static ServiceRetryBudget create(
+            double retriesPerRequest, double fixedRetries, long windowMillis, int instances) {
+        return new ServiceRetryBudget(retriesPerRequest, fixedRetries, windowMillis, instances);
     }
 
     /** Takes the number of instances that divide the fixed part. */
-    public void onInstances(int instances) {
+    public void onInstanceCount(int instances) {
         mInstances = Math.max(1, instances);
     }
 
     /** Notes a request for a service. */
     public void onRequest(String service, long now) {
-        window(service, now).mRequests[bucket(now)]++;
+        window(service, now).mRequests[bucketIndex(now)]++;
     }
 
     /** Takes a second attempt on a service; returns false, and takes nothing, if none is left. */
-    public boolean tryTake(String service, long now) {
-        if (!hasRoom(service, 1, now)) {
+    public boolean tryAcquire(String service, long now) {
+        if (!hasAvailable(service, 1, now)) {
             return false;
         }
-        window(service, now).mRetries[bucket(now)]++;
+        window(service, now).mRetries[bucketIndex(now)]++;
         return true;
     }
 
     /** Returns whether so many second attempts on a service are left. */
-    public boolean hasRoom(String service, int attempts, long now) {
-        return attempts <= left(service, now);
+    public boolean hasAvailable(String service, int retries, long now) {
+        return retries <= available(service, now);
     }
 
     /** Returns how many second attempts on a service are left; less than 0 if fewer than none. */
-    public double left(String service, long now) {
+    public double available(String service, long now) {
         Window window = window(service, now);
-        double allowed = mRatio * sum(window.mRequests) + mFixed / mInstances;
-        return USED_PART * allowed - sum(window.mRetries);
+        double allowed = mRetriesPerRequest * sum(window.mRequests) + mFixedRetries / mInstances;
+        return USED_FRACTION * allowed - sum(window.mRetries);
     }
 
     private Window window(String service, long now) {
@@ -95,7 +96,7 @@
         return window;
     }
 
-    private int bucket(long now) {
+    private int bucketIndex(long now) {
         return (int) Math.floorMod(now / mBucketMillis, BUCKETS);
     }
 
@@ -110,20 +111,20 @@
     private static final class Window {
         final int[] mRequests = new int[BUCKETS];
         final int[] mRetries = new int[BUCKETS];
-        long mNewest;
+        long mNewestBucket;
 
         Window(long newest) {
-            mNewest = newest;
+            mNewestBucket = newest;
         }
 
         void advanceTo(long bucket) {
-            long from = Math.max(mNewest + 1, bucket - BUCKETS + 1);
-            for (long b = from; b <= bucket; b++) {
-                int at = (int) Math.floorMod(b, BUCKETS);
-                mRequests[at] = 0;
-                mRetries[at] = 0;
+            long firstNew = Math.max(mNewestBucket + 1, bucket - BUCKETS + 1);
+            for (long b = firstNew; b <= bucket; b++) {
+                int index = (int) Math.floorMod(b, BUCKETS);
+                mRequests[index] = 0;
+                mRetries[index] = 0;
             }
-            mNewest = Math.max(mNewest, bucket);
+            mNewestBucket = Math.max(mNewestBucket, bucket);
         }
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/ShutdownAdmission.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/ShutdownAdmission.java
@@ -33,21 +33,21 @@
  * instance, used by one thread.
  */
 public final class ShutdownAdmission {
-    private static final long RUNNING = Long.MAX_VALUE;
+    private static final long NOT_SHUTTING_DOWN = Long.MAX_VALUE;
 
     /** A refused caller comes back at once: an instance that goes on serves it in time. */
-    private static final long RETRY_MILLIS = 1;
+    private static final long RETRY_AFTER_MILLIS = 1;
 
     /**
      * What a token is taken to last as long as nothing is learnt: an engine's step that reads 4,096
      * tokens of a prompt at 57 a millisecond, and 8 ms for the rest.
      */
-    private static final double UNKNOWN_TOKEN_MILLIS = 80;
+    private static final double DEFAULT_MILLIS_PER_TOKEN = 80;
 
-    private final Map<String, StreamTimes> mStreams = new HashMap<>();
-    private final Map<String, RunTimes> mTokens = new HashMap<>();
-    private final Map<String, RunTimes> mOthers = new HashMap<>();
-    private long mEndsAt = RUNNING;
+    private final Map<String, StreamDurationBound> mStreamBounds = new HashMap<>();
+    private final Map<String, RunDurationBound> mTokenBounds = new HashMap<>();
+    private final Map<String, RunDurationBound> mRequestBounds = new HashMap<>();
+    private long mShutdownDeadline = NOT_SHUTTING_DOWN;
 
     private ShutdownAdmission() {}
 
@@ -57,18 +57,18 @@
     }
 
     /** Notes that the instance shuts down and has to end at a given time. */
-    public void onShutdown(long endsAt) {
-        mEndsAt = endsAt;
+    public void onShutdown(long deadline) {
+        mShutdownDeadline = deadline;
     }
 
     /** Returns whether the instance shuts down. */
     public boolean isShuttingDown() {
-        return mEndsAt != RUNNING;
+        return mShutdownDeadline != NOT_SHUTTING_DOWN;
     }
 
     /** Returns when the instance has to end; never if it doesn't shut down. */
-    long endsAt() {
-        return mEndsAt;
+    long shutdownDeadline() {
+        return mShutdownDeadline;
     }
 
     /**
@@ -79,14 +79,16 @@
      */
     public boolean admits(ForwardRequest request, long firstEventMillis, long now) {
         return !isShuttingDown()
-                || request.answerBy() <= mEndsAt
-                || now + firstEventMillis + mostMillis(request) <= mEndsAt;
+                || request.deadline() <= mShutdownDeadline
+                || now + firstEventMillis + maxMillis(request) <= mShutdownDeadline;
     }
 
     /** Returns the refusal of a request that isn't taken. */
     public Step.Refuse refusal(long now) {
         return new Step.Refuse(
-                ResultCode.SHUTTING_DOWN, RETRY_MILLIS, "ends in " + (mEndsAt - now) + " ms");
+                ResultCode.SHUTTING_DOWN,
+                RETRY_AFTER_MILLIS,
+                "ends in " + (mShutdownDeadline - now) + " ms");
     }
 
     /**
@@ -95,18 +97,18 @@
      * @param events how many events it had, 0 if it is no stream
      * @param millis from its first event, or from its sending if it is no stream, to its end
      */
-    public void onEnded(ForwardRequest request, int events, long millis) {
+    public void onCompleted(ForwardRequest request, int events, long millis) {
         if (isMeasuredByEvents(request) && events == 0) {
             // A whole answer where a stream was due says nothing of streams.
             return;
         }
-        if (request.lastEvent() >= 0) {
+        if (request.resumeAfterEvent() >= 0) {
             // A part of an answer alone, which says of whole ones as much as one that broke off.
-            onBrokenOff(request, events, millis);
+            onInterrupted(request, events, millis);
         } else if (isMeasuredByEvents(request)) {
-            streams(request).onEnded(maxTokens(request), events, millis);
+            streamBound(request).onCompleted(maxTokens(request), events, millis);
         } else {
-            times(request).onEnded(measure(request, millis));
+            durationBound(request).onCompleted(perToken(request, millis));
         }
     }
 
@@ -116,11 +118,11 @@
      * @param events how many events it had, 0 if none had come
      * @param millis from its first event to its last, or from its sending if none had come
      */
-    public void onBrokenOff(ForwardRequest request, int events, long millis) {
+    public void onInterrupted(ForwardRequest request, int events, long millis) {
         if (!isMeasuredByEvents(request)) {
-            times(request).onBrokenOff(measure(request, millis));
+            durationBound(request).onInterrupted(perToken(request, millis));
         } else if (events > 0) {
-            streams(request).onPart(maxTokens(request), events, millis);
+            streamBound(request).onInterrupted(maxTokens(request), events, millis);
         }
     }
 
@@ -132,30 +134,32 @@
      */
     OptionalInt likelyEvents(ForwardRequest request, int events) {
         return isMeasuredByEvents(request)
-                ? OptionalInt.of(streams(request).likelyEvents(maxTokens(request), events))
+                ? OptionalInt.of(streamBound(request).likelyEvents(maxTokens(request), events))
                 : OptionalInt.empty();
     }
 
     /** A stream that goes on after an event is taken for a whole one: its rest isn't known. */
-    private double mostMillis(ForwardRequest request) {
+    private double maxMillis(ForwardRequest request) {
         int maxTokens = maxTokens(request);
-        OptionalDouble most =
+        OptionalDouble bound =
                 isMeasuredByEvents(request)
-                        ? streams(request).mostMillis(maxTokens)
-                        : mostOf(times(request), maxTokens);
-        return most.orElse(
-                maxTokens > 0 ? maxTokens * UNKNOWN_TOKEN_MILLIS : request.route().timeoutMillis());
+                        ? streamBound(request).maxMillis(maxTokens)
+                        : maxMillisOf(durationBound(request), maxTokens);
+        return bound.orElse(
+                maxTokens > 0
+                        ? maxTokens * DEFAULT_MILLIS_PER_TOKEN
+                        : request.route().timeoutMillis());
     }
 
-    private static OptionalDouble mostOf(RunTimes times, int maxTokens) {
-        OptionalDouble most = times.most();
-        return most.isEmpty()
-                ? most
-                : OptionalDouble.of(most.getAsDouble() * Math.max(1, maxTokens));
+    private static OptionalDouble maxMillisOf(RunDurationBound bound, int maxTokens) {
+        OptionalDouble maxPerToken = bound.upperBound();
+        return maxPerToken.isEmpty()
+                ? maxPerToken
+                : OptionalDouble.of(maxPerToken.getAsDouble() * Math.max(1, maxTokens));
     }
 
     /** Answers without events are measured by the tokens that they may have, or by themselves. */
-    private static double measure(ForwardRequest request, long millis) {
+    private static double perToken(ForwardRequest request, long millis) {
         return (double) millis / Math.max(1, maxTokens(request));
     }
 
@@ -167,12 +171,14 @@
         return maxTokens(request) > 0 && request.route().kind() == RequestKind.STREAMING;
     }
 
-    private StreamTimes streams(ForwardRequest request) {
-        return mStreams.computeIfAbsent(request.service(), service -> new StreamTimes());
+    private StreamDurationBound streamBound(ForwardRequest request) {
+        return mStreamBounds.computeIfAbsent(
+                request.service(), service -> new StreamDurationBound());
     }
 
-    private RunTimes times(ForwardRequest request) {
-        Map<String, RunTimes> all = maxTokens(request) > 0 ? mTokens : mOthers;
-        return all.computeIfAbsent(request.service(), service -> new RunTimes());
+    private RunDurationBound durationBound(ForwardRequest request) {
+        Map<String, RunDurationBound> bounds =
+                maxTokens(request) > 0 ? mTokenBounds : mRequestBounds;
+        return bounds.computeIfAbsent(request.service(), service -> new RunDurationBound());
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/TimelyEnd.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/ShutdownMigration.java
@@ -32,23 +32,23 @@
  * <p>A target that took too long to begin held the events up and would again: it isn't asked once
  * more. One that refused the stream unrun is.
  */
-final class TimelyEnd {
+final class ShutdownMigration {
     private final ForwardRequest mRequest;
-    private final TargetBook mBook;
+    private final TargetBook mTargets;
     private final ShutdownAdmission mShutdown;
     private final Set<String> mAsked = new HashSet<>();
     private final Map<String, Refusals> mRefusals = new HashMap<>();
-    private int mEvents;
+    private int mRelayedEvents;
 
-    TimelyEnd(ForwardRequest request, TargetBook book, ShutdownAdmission shutdown) {
+    ShutdownMigration(ForwardRequest request, TargetBook targets, ShutdownAdmission shutdown) {
         mRequest = request;
-        mBook = book;
+        mTargets = targets;
         mShutdown = shutdown;
     }
 
     /** Notes that an event was passed on. */
-    void onEventPassed() {
-        mEvents++;
+    void onEventRelayed() {
+        mRelayedEvents++;
     }
 
     /** Notes that a target is asked to go on. */
@@ -62,62 +62,62 @@
      */
     void onRefused(String target, long now) {
         mAsked.remove(target);
-        mRefusals.merge(target, Refusals.first(now), (known, first) -> known.andOne(now));
+        mRefusals.merge(target, Refusals.first(now), (known, first) -> known.next(now));
     }
 
     /**
      * Returns who has to be asked now; nothing if the stream stays where it is.
      *
-     * @param present the target that makes the stream
-     * @param barred those that may not go on with it
+     * @param current the target that makes the stream
+     * @param ineligible those that may not go on with it
      */
-    Optional<Choice> quicker(String present, Set<String> barred, long now) {
-        long endsAt = mShutdown.endsAt();
-        OptionalDouble pace = mBook.paceMillis(present, now);
-        if (mRequest.answerBy() <= endsAt || pace.isEmpty()) {
+    Optional<Choice> fasterTarget(String current, Set<String> ineligible, long now) {
+        long deadline = mShutdown.shutdownDeadline();
+        OptionalDouble pace = mTargets.paceMillis(current, now);
+        if (mRequest.deadline() <= deadline || pace.isEmpty()) {
             return Optional.empty();
         }
         StreamForecast forecast = forecast(pace.getAsDouble(), now);
-        Set<String> excluded = new HashSet<>(barred);
+        Set<String> excluded = new HashSet<>(ineligible);
         excluded.addAll(mAsked);
         mRefusals.forEach(
                 (target, refusals) -> {
-                    if (now < refusals.askAt()) {
+                    if (now < refusals.retryAt()) {
                         excluded.add(target);
                     }
                 });
-        return mBook.chooseQuickest(mRequest, excluded, forecast.eventsLeft(), now)
-                .filter(other -> forecast.mustGoOn(other, endsAt, now))
+        return mTargets.chooseQuickest(mRequest, excluded, forecast.eventsLeft(), now)
+                .filter(other -> forecast.mustMove(other, deadline, now))
                 .map(PacedChoice::choice);
     }
 
     /** A stream that its caller had resumed is taken for a whole one: its rest isn't known. */
     private StreamForecast forecast(double paceMillis, long now) {
-        OptionalInt likely = mShutdown.likelyEvents(mRequest, mEvents);
+        OptionalInt likely = mShutdown.likelyEvents(mRequest, mRelayedEvents);
         return likely.isPresent()
-                ? StreamForecast.of(likely.getAsInt() - mEvents, paceMillis)
-                : StreamForecast.untilTimeOver(mRequest.answerBy() - now, paceMillis);
+                ? StreamForecast.of(likely.getAsInt() - mRelayedEvents, paceMillis)
+                : StreamForecast.untilDeadline(mRequest.deadline() - now, paceMillis);
     }
 
     /**
      * How often a target has refused the stream.
      *
-     * @param times how many times
-     * @param askAt when it may be asked again
+     * @param count how many times
+     * @param retryAt when it may be asked again
      */
-    private record Refusals(int times, long askAt) {
+    private record Refusals(int count, long retryAt) {
         /**
          * A line that was full moves on within this time; doubled with each refusal, a stream asks
          * one target five times in the 7.8 s of a shutdown, each for a second attempt.
          */
-        private static final long AGAIN_MILLIS = 200;
+        private static final long FIRST_RETRY_DELAY_MILLIS = 200;
 
         static Refusals first(long now) {
-            return new Refusals(1, now + AGAIN_MILLIS);
+            return new Refusals(1, now + FIRST_RETRY_DELAY_MILLIS);
         }
 
-        Refusals andOne(long now) {
-            return new Refusals(times + 1, now + (AGAIN_MILLIS << times));
+        Refusals next(long now) {
+            return new Refusals(count + 1, now + (FIRST_RETRY_DELAY_MILLIS << count));
         }
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/StartUpWait.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/StartUpWait.java
@@ -24,10 +24,10 @@
  */
 public final class StartUpWait {
     /** An instance that knows nothing after this has more in its way than a start. */
-    static final long MAX_MILLIS = 700;
+    static final long MAX_WAIT_MILLIS = 700;
 
     /** The part of its time that a request may spend on waiting. */
-    static final double PART_OF_TIME = 0.25;
+    static final double MAX_WAIT_FRACTION = 0.25;
 
     private StartUpWait() {}
 
@@ -39,6 +39,7 @@
      * @param now the present time
      */
     public static boolean mayWait(long arrivedAt, long millisLeft, long now) {
-        return now - arrivedAt < Math.min(MAX_MILLIS, Math.round(millisLeft * PART_OF_TIME));
+        return now - arrivedAt
+                < Math.min(MAX_WAIT_MILLIS, Math.round(millisLeft * MAX_WAIT_FRACTION));
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/Step.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/Step.java
@@ -25,27 +25,27 @@
      *
      * @param choice the target, and why
      * @param millisLeft for how long the target may work on it
-     * @param lastEvent the event after which the stream goes on, -1 to begin at the start
+     * @param resumeAfterEvent the event after which the stream goes on, -1 to begin at the start
      */
-    record Send(Choice choice, long millisLeft, long lastEvent) implements Step {}
+    record Send(Choice choice, long millisLeft, long resumeAfterEvent) implements Step {}
 
     /** Wait for a target; ask again at the given time. */
     record Wait(long until) implements Step {}
 
     /** Wait for the successor, which was asked while the run before it still went on. */
-    record Follow() implements Step {}
+    record AwaitSuccessor() implements Step {}
 
     /** Pass the target's answer on to the caller. */
-    record PassOn() implements Step {}
+    record Relay() implements Step {}
 
     /**
      * Tell the caller that the request was not run and never will be.
      *
      * @param code why
      * @param retryAfterMillis when the caller may try again, 0 if nothing is known
-     * @param why what was known of targets, for the log
+     * @param detail what was known of targets, for the log
      */
-    record Refuse(ResultCode code, long retryAfterMillis, String why) implements Step {}
+    record Refuse(ResultCode code, long retryAfterMillis, String detail) implements Step {}
 
     /** Tell the caller that no answer will come, though the request may have run. */
     record Fail(ResultCode code) implements Step {}
@@ -56,5 +56,5 @@
      * @param code what can't be done any more
      * @param cause why the answer's last run was left
      */
-    record Break(ResultCode code, CutCause cause) implements Step {}
+    record Abort(ResultCode code, CutCause cause) implements Step {}
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/StreamCursor.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/StreamCursor.java
@@ -27,15 +27,15 @@
 public final class StreamCursor {
     private final String mRequest;
     private int mAttempt;
-    private int mAttempts;
-    private int mNext;
+    private int mAttemptsStarted;
+    private int mNextPosition;
     private boolean mFinished;
 
-    private StreamCursor(String request, int attempt, int next) {
+    private StreamCursor(String request, int attempt, int nextPosition) {
         mRequest = request;
         mAttempt = attempt;
-        mAttempts = attempt;
-        mNext = next;
+        mAttemptsStarted = attempt;
+        mNextPosition = nextPosition;
     }
 
     /** Returns a cursor at the start of an answer, before the first attempt. */
@@ -44,19 +44,19 @@
     }
 
     /** Returns a cursor inside an answer, for a caller that reconnects. */
-    public static StreamCursor resumeAt(String request, int attempt, int next) {
-        return new StreamCursor(request, attempt, next);
+    public static StreamCursor resumeAt(String request, int attempt, int nextPosition) {
+        return new StreamCursor(request, attempt, nextPosition);
     }
 
-    /** Starts the next attempt, which goes on at {@link #next}; returns its number. */
+    /** Starts the next attempt, which goes on at {@link #nextPosition}; returns its number. */
     public int startAttempt() {
-        mAttempts++;
-        mAttempt = mAttempts;
+        mAttemptsStarted++;
+        mAttempt = mAttemptsStarted;
         return mAttempt;
     }
 
     /** Goes on with an earlier attempt; the next one to start still gets a number of its own. */
-    public void returnTo(int attempt) {
+    public void returnToAttempt(int attempt) {
         mAttempt = attempt;
     }
 
@@ -65,14 +65,14 @@
         if (id == null || !id.request().equals(mRequest) || id.attempt() != mAttempt) {
             return Verdict.CROSSED;
         }
-        if (id.position() < mNext) {
+        if (id.position() < mNextPosition) {
             return Verdict.REPEATED;
         }
-        if (id.position() > mNext) {
+        if (id.position() > mNextPosition) {
             return Verdict.GAP;
         }
         Invariant.check(!mFinished, "nothing follows the end of an answer");
-        mNext++;
+        mNextPosition++;
         return Verdict.NEXT;
     }
 
@@ -81,9 +81,9 @@
         mFinished = true;
     }
 
-    /** Notes that the answer ends at {@link #next} with a chunk made here. */
-    public void finishHere() {
-        mNext++;
+    /** Notes that the answer ends at {@link #nextPosition} with a chunk made here. */
+    public void finishWithLocalChunk() {
+        mNextPosition++;
         mFinished = true;
     }
 
@@ -93,8 +93,8 @@
     }
 
     /** Returns the position of the next chunk. */
-    public int next() {
-        return mNext;
+    public int nextPosition() {
+        return mNextPosition;
     }
 
     /** Returns the present attempt, 0 before the first. */
@@ -103,8 +103,8 @@
     }
 
     /** Returns how many attempts were started, 0 before the first. */
-    public int attempts() {
-        return mAttempts;
+    public int attemptsStarted() {
+        return mAttemptsStarted;
     }
 
     /** Returns the request. */
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/StreamTimes.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/StreamDurationBound.java
@@ -18,50 +18,50 @@
 import java.util.OptionalDouble;
 
 /** How long a stream of one service may last: the most events at the slowest pace seen. */
-final class StreamTimes {
+final class StreamDurationBound {
     /**
      * A pause of some hundred milliseconds says little of the pace: it counts as spread over so
      * many events, also where there were fewer.
      */
-    private static final int LEAST_EVENTS = 10;
+    private static final int MIN_PACE_EVENTS = 10;
 
-    private final RunTimes mEventMillis = new RunTimes();
-    private final EventBound mEvents = new EventBound();
-    private final EventShares mShares = new EventShares();
+    private final RunDurationBound mPaceBound = new RunDurationBound();
+    private final EventCountBound mEventCountBound = new EventCountBound();
+    private final EventCountEstimator mEventCountEstimator = new EventCountEstimator();
 
     /** Takes a whole stream, from its first event to its end. */
-    void onEnded(int maxTokens, int events, long millis) {
-        mEvents.onSeen(maxTokens, events);
-        mShares.onEnded(maxTokens, events);
-        mEventMillis.onEnded(pace(events, millis));
+    void onCompleted(int maxTokens, int events, long millis) {
+        mEventCountBound.onAnswer(maxTokens, events);
+        mEventCountEstimator.onCompleted(maxTokens, events);
+        mPaceBound.onCompleted(paceMillis(events, millis));
     }
 
     /** Takes a part of a stream, from its first event to its last. */
-    void onPart(int maxTokens, int events, long millis) {
-        mEvents.onSeen(maxTokens, events);
-        mEventMillis.onBrokenOff(pace(events, millis));
+    void onInterrupted(int maxTokens, int events, long millis) {
+        mEventCountBound.onAnswer(maxTokens, events);
+        mPaceBound.onInterrupted(paceMillis(events, millis));
     }
 
     /** Returns how many events a stream with the given allowance has at most. */
-    int mostEvents(int maxTokens) {
-        return mEvents.mostEvents(maxTokens);
+    int maxEvents(int maxTokens) {
+        return mEventCountBound.maxEvents(maxTokens);
     }
 
     /** Returns how many events a stream is likely to have that has had some, or else at most. */
     int likelyEvents(int maxTokens, int events) {
-        return mShares.likelyEvents(maxTokens, events).orElse(mostEvents(maxTokens));
+        return mEventCountEstimator.likelyEvents(maxTokens, events).orElse(maxEvents(maxTokens));
     }
 
     /** Returns how long such a stream lasts at most; nothing as long as too few were seen. */
-    OptionalDouble mostMillis(int maxTokens) {
-        OptionalDouble pace = mEventMillis.most();
-        return pace.isEmpty()
-                ? pace
+    OptionalDouble maxMillis(int maxTokens) {
+        OptionalDouble paceMillis = mPaceBound.upperBound();
+        return paceMillis.isEmpty()
+                ? paceMillis
                 : OptionalDouble.of(
-                        pace.getAsDouble() * Math.max(LEAST_EVENTS, mostEvents(maxTokens)));
+                        paceMillis.getAsDouble() * Math.max(MIN_PACE_EVENTS, maxEvents(maxTokens)));
     }
 
-    private static double pace(int events, long millis) {
-        return (double) millis / Math.max(LEAST_EVENTS, events);
+    private static double paceMillis(int events, long millis) {
+        return (double) millis / Math.max(MIN_PACE_EVENTS, events);
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/StreamForecast.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/StreamForecast.java
@@ -31,30 +31,30 @@
      * Where nobody is sure to end in time, whoever lasts this much longer is left: paces of engines
      * that are equally busy differ by less.
      */
-    static final double CLEARLY_LONGER = 1.5;
+    static final double MIN_SPEEDUP = 1.5;
 
     /** A quicker target may become this much slower and still end in time. */
-    static final double SPARE_PART = 0.25;
+    static final double SLOWDOWN_MARGIN_FRACTION = 0.25;
 
     /** Enough to be refused by one target, to ask another one, and to look at it too late. */
-    static final long SPARE_MILLIS = 400;
+    static final long HANDOVER_MARGIN_MILLIS = 400;
 
-    private static final double SHORTEST_PACE_MILLIS = 0.1;
+    private static final double MIN_PACE_MILLIS = 0.1;
 
     /** Returns the forecast of a stream of which it is known how many events follow at most. */
-    public static StreamForecast of(int mostEvents, double paceMillis) {
+    public static StreamForecast of(int maxEventsLeft, double paceMillis) {
         return new StreamForecast(
-                Math.max(0, mostEvents), Math.max(SHORTEST_PACE_MILLIS, paceMillis));
+                Math.max(0, maxEventsLeft), Math.max(MIN_PACE_MILLIS, paceMillis));
     }
 
     /** Returns the forecast of a stream that may go on until its own time is over. */
-    public static StreamForecast untilTimeOver(long millisLeft, double paceMillis) {
-        double pace = Math.max(SHORTEST_PACE_MILLIS, paceMillis);
+    public static StreamForecast untilDeadline(long millisLeft, double paceMillis) {
+        double pace = Math.max(MIN_PACE_MILLIS, paceMillis);
         return of((int) Math.ceil(Math.max(0, millisLeft) / pace), pace);
     }
 
     /** Returns how long the rest lasts at most where the stream is. */
-    public double restMillis() {
+    public double maxRemainingMillis() {
         return eventsLeft * paceMillis;
     }
 
@@ -64,16 +64,17 @@
      * is clearly quicker.
      *
      * @param other the quickest other target
-     * @param endsAt when the stream has to be over
+     * @param deadline when the stream has to be over
      */
-    public boolean mustGoOn(PacedChoice other, long endsAt, long now) {
-        long left = endsAt - now;
-        if (restMillis() <= left) {
+    public boolean mustMove(PacedChoice other, long deadline, long now) {
+        long millisLeft = deadline - now;
+        if (maxRemainingMillis() <= millisLeft) {
             return false;
         }
-        double there = other.restMillis(eventsLeft);
-        return there <= left
-                ? there * (1 + SPARE_PART) + SPARE_MILLIS > left
-                : restMillis() >= there * CLEARLY_LONGER;
+        double otherRemainingMillis = other.restMillis(eventsLeft);
+        return otherRemainingMillis <= millisLeft
+                ? otherRemainingMillis * (1 + SLOWDOWN_MARGIN_FRACTION) + HANDOVER_MARGIN_MILLIS
+                        > millisLeft
+                : maxRemainingMillis() >= otherRemainingMillis * MIN_SPEEDUP;
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/Suspect.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/Suspect.java
@@ -23,15 +23,15 @@
  * @param request which
  * @param standing what follows from it
  * @param targets those that it may have crashed
- * @param until the end of the time for which it is refused, in milliseconds of this process's
- *     clock; from then on one crash is enough to refuse it again
+ * @param refusedUntil the end of the time for which it is refused, in milliseconds of this
+ *     process's clock; from then on one crash is enough to refuse it again
  * @param refusals how often it was found to crash targets, 0 if it is only watched
  */
 public record Suspect(
         RequestFingerprint request,
         Standing standing,
         Set<String> targets,
-        long until,
+        long refusedUntil,
         int refusals) {
     /** What follows from a suspicion. */
     public enum Standing {
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/SuspectRequests.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/SuspectRequests.java
@@ -64,13 +64,13 @@
      * Returns whether a request may be sent to one more target. One that was refused before is
      * tried by one alone.
      *
-     * @param targets how many may have run it for this attempt of its caller
+     * @param runCount how many may have run it for this attempt of its caller
      */
-    public boolean maySendOn(RequestFingerprint request, int targets, long now) {
+    public boolean maySend(RequestFingerprint request, int runCount, long now) {
         Suspect suspect = mSuspects.get(request);
         return suspect == null
                 || suspect.standing() != Suspect.Standing.REFUSED
-                || now >= suspect.until() && targets == 0;
+                || now >= suspect.refusedUntil() && runCount == 0;
     }
 
     /** Returns the refusal of a request that isn't sent on. */
@@ -78,7 +78,7 @@
         Suspect suspect = mSuspects.get(request);
         return new Step.Refuse(
                 ResultCode.CRASHES_TARGETS,
-                Math.max(0, suspect.until() - now),
+                Math.max(0, suspect.refusedUntil() - now),
                 "fingerprint " + request.label() + " crashed " + suspect.targets());
     }
 
@@ -95,14 +95,15 @@
     }
 
     /** Returns whether a request ran to its end here so lately that it crashes no target. */
-    public boolean isHarmless(RequestFingerprint request, long now) {
+    public boolean hasCompletedRecently(RequestFingerprint request, long now) {
         Long completedAt = mCompletedAt.get(request);
-        return completedAt != null && now - completedAt <= CrashLedger.HARMLESS_MILLIS;
+        return completedAt != null
+                && now - completedAt <= PoisonRequestDetector.RECENT_COMPLETION_MILLIS;
     }
 
-    private static <V> void dropOldest(Map<RequestFingerprint, V> known, int most) {
-        if (known.size() > most) {
-            known.remove(known.keySet().iterator().next());
+    private static <V> void dropOldest(Map<RequestFingerprint, V> entries, int maxSize) {
+        if (entries.size() > maxSize) {
+            entries.remove(entries.keySet().iterator().next());
         }
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/TargetCrash.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/TargetCrash.java
@@ -22,6 +22,6 @@
  *
  * @param target the incarnation that ended
  * @param requests what it worked on, or had in its queue, as far as it is known
- * @param at when it ended, in milliseconds of this process's clock
+ * @param crashedAt when it ended, in milliseconds of this process's clock
  */
-public record TargetCrash(String target, Set<RequestFingerprint> requests, long at) {}
+public record TargetCrash(String target, Set<RequestFingerprint> requests, long crashedAt) {}
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/TargetRun.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/TargetRun.java
@@ -20,22 +20,22 @@
 
 /** One sending of a request to a target, and what the target's load counts of it. */
 final class TargetRun {
-    private final TargetBook mBook;
+    private final TargetBook mTargets;
     private final Choice mChoice;
     private boolean mSent;
-    private boolean mFirstThere;
+    private boolean mFirstOnTarget;
     private boolean mPromptRead;
     private boolean mFinished;
 
-    private TargetRun(TargetBook book, Choice choice) {
-        mBook = book;
+    private TargetRun(TargetBook targets, Choice choice) {
+        mTargets = targets;
         mChoice = choice;
     }
 
     /** Returns a run that is about to be sent, and counts for its target's load. */
-    static TargetRun open(TargetBook book, Choice choice, ForwardRequest request, long now) {
-        book.onChosen(choice, request, now);
-        return new TargetRun(book, choice);
+    static TargetRun open(TargetBook targets, Choice choice, ForwardRequest request, long now) {
+        targets.onChosen(choice, request, now);
+        return new TargetRun(targets, choice);
     }
 
     String target() {
@@ -45,16 +45,16 @@
     /**
      * Notes that the first byte leaves: from now on it may run.
      *
-     * @param firstThere whether its target has not run the request before, as far as is known
+     * @param firstOnTarget whether its target has not run the request before, as far as is known
      */
-    void onSending(boolean firstThere) {
+    void onSending(boolean firstOnTarget) {
         mSent = true;
-        mFirstThere = firstThere;
+        mFirstOnTarget = firstOnTarget;
     }
 
     /** Returns whether its target has not run the request if it doesn't run it now. */
-    boolean isFirstThere() {
-        return mFirstThere;
+    boolean isFirstOnTarget() {
+        return mFirstOnTarget;
     }
 
     /** Returns whether a byte may have reached the target. */
@@ -66,7 +66,7 @@
     void onPromptRead() {
         if (!mPromptRead) {
             mPromptRead = true;
-            mBook.onPromptRead(mChoice);
+            mTargets.onPromptRead(mChoice);
         }
     }
 
@@ -75,7 +75,7 @@
         if (!mFinished) {
             mFinished = true;
             onPromptRead();
-            mBook.onFinished(mChoice);
+            mTargets.onFinished(mChoice);
         }
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/PromptHolders.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/PromptHolders.java
@@ -108,7 +108,7 @@
      * @param heldTokens how many tokens aren't lacking
      */
     boolean isHome(TargetState target, int heldTokens) {
-        long key = CacheKeys.affinity(mRequest.cacheOwner(), mPrompt, heldTokens);
+        long key = CacheKeys.affinity(mRequest.cacheScope(), mPrompt, heldTokens);
         long first = version(target).mFirstRanks.computeIfAbsent(key, k -> firstRank(target, k));
         return Long.compareUnsigned(first, target.rank(key)) <= 0;
     }
@@ -148,7 +148,7 @@
         private int mMost = 1;
 
         Version(long weights) {
-            String owner = mRequest.cacheOwner();
+            String owner = mRequest.cacheScope();
             mSalt = mPrompt.model() + "." + weights + (owner.isEmpty() ? "" : "." + owner);
             mKeys = CacheKeys.of(mSalt, mPrompt);
             mStored = mStore.isUsable() ? shared(mStore.cache()) : 0;
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/TargetRatings.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/TargetRatings.java
@@ -120,7 +120,7 @@
                         + source.map(KvSource::waitMillis).orElse(0.0);
         double expected = wait + fetch + mCosts.firstTokenMillis(missing, state.openRequests());
         double ownReading = mCosts.readingMillis(prompt.tokens() - holders.sharedTokens());
-        double pardoned = Admission.pardonedMillis(request, ownReading);
+        double pardoned = Admission.discountedPrefillMillis(request, ownReading);
         boolean old = outdatedFor(state, prompt, now) > OLD_WEIGHTS_MILLIS;
         double others = mCosts.costToOthers(missing, state.openRequests());
         double cost =
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/AdmissionTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/AdmissionTest.java
@@ -27,25 +27,27 @@
 
 /** Under load urgent prompts waited behind others, and runs stood still while these were read. */
 final class AdmissionTest {
-    private static final long TIMEOUT = 4000;
-    private static final long OBJECTIVE = 600;
+    private static final long TIMEOUT_MILLIS = 4000;
+    private static final long OBJECTIVE_MILLIS = 600;
 
     @Test
     void lessUrgentPromptsLeaveRoomForUrgentOnes() {
-        assertThat(Admission.admits(request(0, TIMEOUT), 590)).isTrue();
-        assertThat(Admission.admits(request(1, TIMEOUT), 400)).isFalse();
-        assertThat(Admission.admits(request(1, TIMEOUT), 380)).isTrue();
-        assertThat(Admission.admits(request(0, TIMEOUT), 610)).isFalse();
+        assertThat(Admission.admits(request(0, TIMEOUT_MILLIS), 590)).isTrue();
+        assertThat(Admission.admits(request(1, TIMEOUT_MILLIS), 400)).isFalse();
+        assertThat(Admission.admits(request(1, TIMEOUT_MILLIS), 380)).isTrue();
+        assertThat(Admission.admits(request(0, TIMEOUT_MILLIS), 610)).isFalse();
     }
 
     @Test
-    void largePromptsArePardonedMostOfTheirOwnReading() {
-        assertThat(Admission.pardonedMillis(request(1, TIMEOUT), 100)).isEqualTo(0.0);
-        assertThat(Admission.pardonedMillis(request(1, TIMEOUT), 600)).isEqualTo(480.0);
+    void mostOfTheOwnPrefillOfLargePromptsIsDiscounted() {
+        assertThat(Admission.discountedPrefillMillis(request(1, TIMEOUT_MILLIS), 100))
+                .isEqualTo(0.0);
+        assertThat(Admission.discountedPrefillMillis(request(1, TIMEOUT_MILLIS), 600))
+                .isEqualTo(480.0);
     }
 
     @Test
-    void requestsWithoutAPromptAreNeverHeldUp() {
+    void requestsWithoutPromptAreAlwaysAdmitted() {
         ForwardRequest plain =
                 new ForwardRequest(
                         "id",
@@ -63,27 +65,27 @@
     }
 
     @Test
-    void callersComeBackSpreadAndWithinAThirdOfTheirTime() {
+    void retryDelaysAreSpreadWithinAThirdOfTheRemainingTime() {
         SplittableRandom random = new SplittableRandom(1);
-        long least = Long.MAX_VALUE;
-        long most = 0;
+        long shortest = Long.MAX_VALUE;
+        long longest = 0;
         for (int i = 0; i < 1000; i++) {
-            long after = Admission.retryAfterMillis(request(1, TIMEOUT), random, 100);
-            least = Math.min(least, after);
-            most = Math.max(most, after);
+            long delay = Admission.retryAfterMillis(request(1, TIMEOUT_MILLIS), random, 100);
+            shortest = Math.min(shortest, delay);
+            longest = Math.max(longest, delay);
         }
-        assertThat(least).isIn(Range.closed(600L, 620L));
-        assertThat(most).isIn(Range.closed(1180L, 1200L));
+        assertThat(shortest).isIn(Range.closed(600L, 620L));
+        assertThat(longest).isIn(Range.closed(1180L, 1200L));
     }
 
     @Test
-    void callerWithLittleTimeComesBackSoon() {
+    void callerWithLittleTimeLeftRetriesSoon() {
         SplittableRandom random = new SplittableRandom(1);
         assertThat(Admission.retryAfterMillis(request(1, 300), random, 0)).isAtMost(100);
         assertThat(Admission.retryAfterMillis(request(1, 300), random, 400)).isEqualTo(1);
     }
 
-    private static ForwardRequest request(int priority, long time) {
+    private static ForwardRequest request(int priority, long deadline) {
         Prompt prompt = new Prompt("m", 9000, 10, List.of(new Prompt.Part(1, 9000)));
         return new ForwardRequest(
                 "id",
@@ -94,7 +96,7 @@
                 Optional.of(prompt),
                 0,
                 0,
-                time,
+                deadline,
                 new RequestFingerprint(1, 1),
                 -1);
     }
@@ -105,8 +107,8 @@
                 "h",
                 "/",
                 RequestKind.STREAMING,
-                TIMEOUT,
-                OBJECTIVE,
+                TIMEOUT_MILLIS,
+                OBJECTIVE_MILLIS,
                 500,
                 priority,
                 List.of(new Route.Share("s", 1)),
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/LostRunsTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/DisconnectedRunsTest.java
@@ -20,37 +20,37 @@
 import org.junit.jupiter.api.Test;
 
 /** What is a crash, as against a connection that was closed. */
-class LostRunsTest {
+class DisconnectedRunsTest {
     private static final RequestFingerprint ONE = new RequestFingerprint(1, 1);
     private static final RequestFingerprint TWO = new RequestFingerprint(2, 2);
 
-    private final LostRuns mLost = LostRuns.create();
+    private final DisconnectedRuns mRuns = DisconnectedRuns.create();
 
     @Test
-    void targetThatEndsRightAfterItClosedRunsHasCrashed() {
-        mLost.onLost("a", ONE, 100);
-        mLost.onLost("a", TWO, 104);
-        mLost.onLost("b", TWO, 104);
+    void targetThatEndsRightAfterClosingRunsHasCrashed() {
+        mRuns.onDisconnected("a", ONE, 100);
+        mRuns.onDisconnected("a", TWO, 104);
+        mRuns.onDisconnected("b", TWO, 104);
 
-        TargetCrash crash = mLost.onEnded("a", 130).orElseThrow();
+        TargetCrash crash = mRuns.onTargetEnded("a", 130).orElseThrow();
 
         assertThat(crash.requests()).containsExactly(ONE, TWO);
-        assertThat(crash.at()).isEqualTo(100);
+        assertThat(crash.crashedAt()).isEqualTo(100);
     }
 
     @Test
-    void targetThatEndsMuchLaterHasNotCrashedByThem() {
-        mLost.onLost("a", ONE, 100);
+    void targetThatEndsMuchLaterHasNotCrashed() {
+        mRuns.onDisconnected("a", ONE, 100);
 
-        assertThat(mLost.onEnded("a", 101 + LostRuns.KEPT_MILLIS)).isEmpty();
+        assertThat(mRuns.onTargetEnded("a", 101 + DisconnectedRuns.RETENTION_MILLIS)).isEmpty();
     }
 
     @Test
-    void targetThatClosedNothingOrHasLeftHasNotCrashed() {
-        mLost.onLost("a", ONE, 100);
-        mLost.onLeft("a");
+    void targetThatClosedNoRunOrHasLeftHasNotCrashed() {
+        mRuns.onDisconnected("a", ONE, 100);
+        mRuns.onTargetLeft("a");
 
-        assertThat(mLost.onEnded("a", 110)).isEmpty();
-        assertThat(mLost.onEnded("b", 110)).isEmpty();
+        assertThat(mRuns.onTargetEnded("a", 110)).isEmpty();
+        assertThat(mRuns.onTargetEnded("b", 110)).isEmpty();
     }
 }
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/ForwardingWalk.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/ForwardingSimulation.java
@@ -37,10 +37,10 @@
  * One request that is driven by chance, as an entry drives it, among targets that come and go; what
  * the targets would have seen is counted here, and held against what was promised.
  */
-final class ForwardingWalk {
+final class ForwardingSimulation {
     private static final AnswerHead OK = new AnswerHead(200, false, false, true, false);
     private static final AnswerHead STREAM = new AnswerHead(200, false, false, true, true);
-    private static final AnswerHead SHED = new AnswerHead(503, true, false, false, false);
+    private static final AnswerHead REFUSED = new AnswerHead(503, true, false, false, false);
     private static final AnswerHead MISDIRECTED = new AnswerHead(421, false, true, false, false);
     private static final AnswerHead FAILED = new AnswerHead(500, false, false, true, false);
     private static final AnswerHead UNSIGNED = new AnswerHead(200, false, false, false, false);
@@ -48,43 +48,45 @@
             new AnswerHead(200, false, false, false, true);
 
     private static final int MAX_STEPS = 400;
-    private static final int PLENTY = 1000;
-    private static final int ENOUGH_MILLIS = 700;
+    private static final int UNLIMITED_RETRIES = 1000;
+    private static final int MIN_RESUME_MILLIS = 700;
 
-    private final StringBuilder mTold = new StringBuilder();
+    private final StringBuilder mTrace = new StringBuilder();
     private final SplittableRandom mRandom;
-    private final TargetBook mBook;
-    private final RetryAllowance mRetries;
+    private final TargetBook mTargetTable;
+    private final ServiceRetryBudget mRetryBudget;
     private final ShutdownAdmission mShutdown = ShutdownAdmission.create();
     private final RequestKind mKind;
     private final Route mRoute;
     private final Forwarding mForwarding;
-    private final double mRetriesAtFirst;
+    private final double mInitialRetries;
 
     private final Set<String> mMayHaveRun = new HashSet<>();
-    private final Set<String> mLeftAtWork = new HashSet<>();
+    private final Set<String> mLeftRunning = new HashSet<>();
     private int mRuns;
     private int mArrivals;
-    private int mTakenByOthers;
+    private int mRetriesOfOthers;
     private Run mRun;
     private Run mSuccessor;
-    private final List<Long> mHeld = new ArrayList<>();
-    private long mWaitsUntil;
-    private boolean mWaits;
-    private long mPassed = -1;
-    private boolean mBegun;
+    private final List<Long> mHeldEvents = new ArrayList<>();
+    private long mWaitUntil;
+    private boolean mWaiting;
+    private long mLastRelayedEvent = -1;
+    private boolean mAnswerStarted;
     private long mNow;
-    private long mLostAt;
-    private boolean mLost;
-    private int mTargets;
-    private boolean mHurried;
-    private String mEnd = "";
+    private long mInterruptedAt;
+    private boolean mInterrupted;
+    private int mTargetCount;
+    private boolean mShutdownSuccessorAsked;
+    private String mOutcome = "";
 
-    ForwardingWalk(long seed) {
+    ForwardingSimulation(long seed) {
         mRandom = new SplittableRandom(seed);
-        mBook = TargetBook.create("z", 7500, new SplittableRandom(seed));
-        mRetries = RetryAllowance.create(0, mRandom.nextBoolean() ? 6 : 2 * PLENTY, 1_000_000, 1);
-        mRetriesAtFirst = mRetries.left("s", 0);
+        mTargetTable = TargetBook.create("z", 7500, new SplittableRandom(seed));
+        mRetryBudget =
+                ServiceRetryBudget.create(
+                        0, mRandom.nextBoolean() ? 6 : 2 * UNLIMITED_RETRIES, 1_000_000, 1);
+        mInitialRetries = mRetryBudget.available("s", 0);
         int targets = 1 + mRandom.nextInt(5);
         for (int i = 0; i < targets; i++) {
             addTarget();
@@ -112,148 +114,151 @@
                         millis,
                         new RequestFingerprint(1, 1),
                         -1);
-        mForwarding = Forwarding.of(request, mBook, mRetries, mShutdown, SuspectRequests.create());
+        mForwarding =
+                Forwarding.of(
+                        request, mTargetTable, mRetryBudget, mShutdown, SuspectRequests.create());
     }
 
     /** Plays to the end, and returns what it was. */
-    String play() {
-        tell("kind " + mKind + " attempts " + mRoute.maxAttempts());
+    String run() {
+        log("kind " + mKind + " attempts " + mRoute.maxAttempts());
         perform(mForwarding.start(mNow));
-        for (int i = 0; i < MAX_STEPS && mEnd.isEmpty(); i++) {
+        for (int i = 0; i < MAX_STEPS && mOutcome.isEmpty(); i++) {
             mNow += mRandom.nextInt(5) == 0 ? mRandom.nextInt(900) : mRandom.nextInt(30);
             if (mNow >= mRoute.timeoutMillis()) {
                 mNow = mRoute.timeoutMillis();
-                tell("time over");
-                endAs(mForwarding.onTimeOver(mNow), CutCause.TIME);
+                log("time over");
+                endWith(mForwarding.onDeadline(mNow), CutCause.TIME);
             } else if (mRandom.nextInt(12) == 0) {
-                meddle();
+                applyExternalEvent();
             } else {
                 step();
             }
-            check();
+            checkInvariants();
         }
-        if (mEnd.isEmpty()) {
-            tell("caller gone");
-            mForwarding.abandon();
+        if (mOutcome.isEmpty()) {
+            log("caller gone");
+            mForwarding.onCallerDisconnected();
             close("caller gone");
-            check();
+            checkInvariants();
         }
-        return mEnd;
+        return mOutcome;
     }
 
     /** Returns whether another target was asked since the instance is ending. */
-    boolean wasHurried() {
-        return mHurried;
+    boolean wasShutdownSuccessorAsked() {
+        return mShutdownSuccessorAsked;
     }
 
     /** Returns what has happened, one event a line. */
-    String told() {
-        return mTold.toString();
+    String trace() {
+        return mTrace.toString();
     }
 
     /** Something that isn't of the request itself. */
-    private void meddle() {
-        int what = mRandom.nextInt(8);
-        if (what == 0) {
+    private void applyExternalEvent() {
+        int kind = mRandom.nextInt(8);
+        if (kind == 0) {
             addTarget();
-        } else if (what == 1) {
-            int at = mRandom.nextInt(mTargets);
-            tell("gone t" + at);
-            mBook.onGone("t" + at);
-        } else if (what == 2) {
-            mBook.onLoading("t" + mRandom.nextInt(mTargets), mRandom.nextBoolean(), mNow);
-        } else if (what == 3) {
-            mBook.onHeard("t" + mRandom.nextInt(mTargets), mNow);
-        } else if (what == 4) {
-            mTakenByOthers += mRetries.tryTake("s", mNow) ? 1 : 0;
-        } else if (what == 5 && mRandom.nextInt(6) == 0) {
-            tell("instance ends");
-            endAs(mForwarding.onInstanceEnds(), CutCause.SHUTDOWN);
-        } else if (what == 6 && mRandom.nextInt(6) == 0) {
-            tell("caller gone");
-            mForwarding.abandon();
+        } else if (kind == 1) {
+            int index = mRandom.nextInt(mTargetCount);
+            log("gone t" + index);
+            mTargetTable.onGone("t" + index);
+        } else if (kind == 2) {
+            mTargetTable.onLoading(
+                    "t" + mRandom.nextInt(mTargetCount), mRandom.nextBoolean(), mNow);
+        } else if (kind == 3) {
+            mTargetTable.onHeard("t" + mRandom.nextInt(mTargetCount), mNow);
+        } else if (kind == 4) {
+            mRetriesOfOthers += mRetryBudget.tryAcquire("s", mNow) ? 1 : 0;
+        } else if (kind == 5 && mRandom.nextInt(6) == 0) {
+            log("instance ends");
+            endWith(mForwarding.onShutdownDeadline(), CutCause.SHUTDOWN);
+        } else if (kind == 6 && mRandom.nextInt(6) == 0) {
+            log("caller gone");
+            mForwarding.onCallerDisconnected();
             close("caller gone");
-        } else if (what == 7 && mRandom.nextInt(6) == 0) {
+        } else if (kind == 7 && mRandom.nextInt(6) == 0) {
             mShutdown.onShutdown(mNow + 3000);
         }
     }
 
     private void step() {
-        if (mWaits) {
-            mNow = Math.min(Math.max(mNow, mWaitsUntil), mRoute.timeoutMillis() - 1);
-            mWaits = false;
-            perform(mForwarding.onWaited(mNow));
+        if (mWaiting) {
+            mNow = Math.min(Math.max(mNow, mWaitUntil), mRoute.timeoutMillis() - 1);
+            mWaiting = false;
+            perform(mForwarding.onWaitElapsed(mNow));
         } else if (mSuccessor != null && mRandom.nextBoolean()) {
-            stepOfSuccessor();
+            stepSuccessor();
         } else {
-            stepOfRun();
+            stepRun();
         }
     }
 
-    private void stepOfRun() {
-        int what = mRandom.nextInt(8);
+    private void stepRun() {
+        int kind = mRandom.nextInt(8);
         if (mRandom.nextInt(8) == 0) {
-            mBook.onEvent(mRun.mTarget, 1 + mRandom.nextInt(100), mNow);
-            tell("instance is ending");
-            Optional<Step.Send> send = mForwarding.onInstanceEnding(mNow);
-            mHurried |= send.isPresent();
-            ask(send);
-        } else if (what == 0) {
-            tell("silent");
-            ask(mForwarding.onSilence(mNow));
-        } else if (what == 1) {
-            tell("waits to load");
-            ask(mForwarding.onTargetWaits(mNow));
-        } else if (what == 2 && mRandom.nextInt(3) == 0) {
-            tell("given up by control");
+            mTargetTable.onEvent(mRun.mTarget, 1 + mRandom.nextInt(100), mNow);
+            log("instance is ending");
+            Optional<Step.Send> send = mForwarding.onShutdownCheck(mNow);
+            mShutdownSuccessorAsked |= send.isPresent();
+            askSuccessor(send);
+        } else if (kind == 0) {
+            log("silent");
+            askSuccessor(mForwarding.onTargetUnresponsive(mNow));
+        } else if (kind == 1) {
+            log("waits to load");
+            askSuccessor(mForwarding.onLoadPending(mNow));
+        } else if (kind == 2 && mRandom.nextInt(3) == 0) {
+            log("given up by control");
             if (mRun.mSent) {
-                mLeftAtWork.remove(mRun.mTarget);
+                mLeftRunning.remove(mRun.mTarget);
             }
             mRun = null;
-            perform(mForwarding.onGivenUp(CutCause.CONTROL, mNow));
+            perform(mForwarding.onTargetLost(CutCause.CONTROL, mNow));
         } else if (!mRun.mSent) {
             if (mRandom.nextInt(3) == 0) {
-                tell("unsent");
+                log("unsent");
                 mRun = null;
-                perform(mForwarding.onUnsent(mNow));
+                perform(mForwarding.onUnreachable(mNow));
             } else {
-                tell("sending");
+                log("sending");
                 onArrival(mRun);
                 mForwarding.onSending();
             }
-        } else if (!mRun.mStreams) {
-            onHead(anyHead());
-        } else if (what < 6) {
-            onEvent(++mRun.mMade);
-        } else if (what == 6) {
+        } else if (!mRun.mStreaming) {
+            onHead(randomHead());
+        } else if (kind < 6) {
+            onEvent(++mRun.mLastEvent);
+        } else if (kind == 6) {
             onStreamEnd();
         } else {
-            onBroken();
+            onAnswerFailed();
         }
     }
 
     private void onHead(AnswerHead head) {
-        tell("answers " + head);
+        log("answers " + head);
         if (head.isNotRun()) {
             onRefusal(mRun);
             mRun = null;
-            perform(mForwarding.onAnswer(head, mNow));
+            perform(mForwarding.onAnswerHead(head, mNow));
             return;
         }
         if (mRandom.nextInt(5) == 0) {
-            onBroken();
+            onAnswerFailed();
             return;
         }
-        Step step = mForwarding.onAnswer(head, mNow);
-        if (!(step instanceof Step.PassOn)) {
-            mLeftAtWork.remove(mRun.mTarget);
+        Step step = mForwarding.onAnswerHead(head, mNow);
+        if (!(step instanceof Step.Relay)) {
+            mLeftRunning.remove(mRun.mTarget);
             mRun = null;
             perform(step);
         } else if (head.stream()) {
-            mRun.mStreams = true;
-            dropSuccessor();
+            mRun.mStreaming = true;
+            discardSuccessor();
         } else {
-            assertWithMessage("a plain answer in a stream").that(mBegun).isFalse();
+            assertWithMessage("a plain answer in a stream").that(mAnswerStarted).isFalse();
             mForwarding.onComplete();
             close("whole");
         }
@@ -261,83 +266,83 @@
 
     private void onEvent(long event) {
         if (mForwarding.holdsEvents()) {
-            mHeld.add(event);
+            mHeldEvents.add(event);
         } else {
-            dropSuccessor();
-            pass(event);
+            discardSuccessor();
+            relay(event);
         }
     }
 
     private void onStreamEnd() {
-        tell("stream ends");
-        dropSuccessor();
-        passHeld();
+        log("stream ends");
+        discardSuccessor();
+        relayHeldEvents();
         mForwarding.onComplete();
         close("whole");
     }
 
-    private void onBroken() {
-        tell("breaks off");
-        mLeftAtWork.remove(mRun.mTarget);
+    private void onAnswerFailed() {
+        log("breaks off");
+        mLeftRunning.remove(mRun.mTarget);
         mRun = null;
-        perform(mForwarding.onBroken(ResultCode.TARGET_LOST, mNow));
+        perform(mForwarding.onAnswerFailed(ResultCode.TARGET_LOST, mNow));
     }
 
-    private void stepOfSuccessor() {
-        int what = mRandom.nextInt(6);
-        if (what == 0) {
-            tell("successor isn't wanted");
-            dropSuccessor();
-            passHeld();
+    private void stepSuccessor() {
+        int kind = mRandom.nextInt(6);
+        if (kind == 0) {
+            log("successor isn't wanted");
+            discardSuccessor();
+            relayHeldEvents();
         } else if (!mSuccessor.mSent) {
-            if (what == 1) {
-                tell("successor unsent");
-                mForwarding.onSuccessorUnsent(mNow);
-                stay();
+            if (kind == 1) {
+                log("successor unsent");
+                mForwarding.onSuccessorUnreachable(mNow);
+                keepRun();
             } else {
-                tell("successor sending");
+                log("successor sending");
                 onArrival(mSuccessor);
                 mForwarding.onSuccessorSending();
             }
         } else {
-            onSuccessorHead(anyHead());
+            onSuccessorHead(randomHead());
         }
     }
 
     private void onSuccessorHead(AnswerHead head) {
-        tell("successor answers " + head);
+        log("successor answers " + head);
         if (head.isNotRun()) {
             onRefusal(mSuccessor);
             mForwarding.onSuccessorRefused(head, mNow);
-            stay();
-        } else if (mRandom.nextInt(5) == 0 || !mForwarding.mayFollow(head)) {
-            tell("it can't follow");
-            mLeftAtWork.remove(mSuccessor.mTarget);
-            mForwarding.onSuccessorBroken(mNow);
-            stay();
+            keepRun();
+        } else if (mRandom.nextInt(5) == 0 || !mForwarding.maySuccessorTakeOver(head)) {
+            log("it can't follow");
+            mLeftRunning.remove(mSuccessor.mTarget);
+            mForwarding.onSuccessorFailed(mNow);
+            keepRun();
         } else {
-            mForwarding.onSuccessorBegun();
-            mLeftAtWork.add(mRun.mTarget);
-            follow();
-            onHeadOfFollower(head);
+            mForwarding.onSuccessorStarted();
+            mLeftRunning.add(mRun.mTarget);
+            switchToSuccessor();
+            onHeadAfterTakeover(head);
         }
     }
 
-    private void onHeadOfFollower(AnswerHead head) {
-        Step step = mForwarding.onAnswer(head, mNow);
-        assertWithMessage("what took over is passed on").that(step).isEqualTo(new Step.PassOn());
+    private void onHeadAfterTakeover(AnswerHead head) {
+        Step step = mForwarding.onAnswerHead(head, mNow);
+        assertWithMessage("what took over is passed on").that(step).isEqualTo(new Step.Relay());
         if (head.stream()) {
-            mRun.mStreams = true;
+            mRun.mStreaming = true;
         } else {
             mForwarding.onComplete();
             close("whole");
         }
     }
 
-    private AnswerHead anyHead() {
-        int what = mRandom.nextInt(12);
-        return switch (what) {
-            case 0 -> SHED;
+    private AnswerHead randomHead() {
+        int kind = mRandom.nextInt(12);
+        return switch (kind) {
+            case 0 -> REFUSED;
             case 1 -> MISDIRECTED;
             case 2 -> FAILED;
             case 3 -> UNSIGNED;
@@ -348,103 +353,107 @@
     }
 
     private void perform(Step step) {
-        tell("-> " + step);
-        if (!mLost && !(step instanceof Step.Follow)) {
-            mLost = true;
-            mLostAt = mNow;
+        log("-> " + step);
+        if (!mInterrupted && !(step instanceof Step.AwaitSuccessor)) {
+            mInterrupted = true;
+            mInterruptedAt = mNow;
         }
         if (step instanceof Step.Send send) {
             assertWithMessage("one run at a time").that(mRun).isNull();
-            mRun = new Run(send.choice().target(), send.lastEvent());
-            assertThat(send.lastEvent()).isEqualTo(mPassed);
+            mRun = new Run(send.choice().target(), send.resumeAfterEvent());
+            assertThat(send.resumeAfterEvent()).isEqualTo(mLastRelayedEvent);
         } else if (step instanceof Step.Wait wait) {
             assertThat(wait.until()).isGreaterThan(mNow);
             assertWithMessage("waits with a successor at work").that(mSuccessor).isNull();
-            mWaits = true;
-            mWaitsUntil = wait.until();
-        } else if (step instanceof Step.Follow) {
-            follow();
+            mWaiting = true;
+            mWaitUntil = wait.until();
+        } else if (step instanceof Step.AwaitSuccessor) {
+            switchToSuccessor();
         } else {
             assertWithMessage("ends with a run at work").that(mRun).isNull();
             assertWithMessage("ends with a successor at work").that(mSuccessor).isNull();
-            endAs(step, null);
+            endWith(step, null);
         }
     }
 
     /** Ends by a step; {@code due} is why it is cut, null if it must be its last target's doing. */
-    private void endAs(Step step, CutCause due) {
-        tell("=> " + step);
-        if (step instanceof Step.Break cut) {
-            assertThat(mBegun).isTrue();
+    private void endWith(Step step, CutCause expectedCause) {
+        log("=> " + step);
+        if (step instanceof Step.Abort abort) {
+            assertThat(mAnswerStarted).isTrue();
             Set<CutCause> causes =
-                    due == null ? Set.of(CutCause.TARGET, CutCause.CONTROL) : Set.of(due);
-            assertThat(cut.cause()).isIn(causes);
-            assertWithMessage("cut though it may go on").that(due == null && mayGoOn()).isFalse();
+                    expectedCause == null
+                            ? Set.of(CutCause.TARGET, CutCause.CONTROL)
+                            : Set.of(expectedCause);
+            assertThat(abort.cause()).isIn(causes);
+            assertWithMessage("cut though it may go on")
+                    .that(expectedCause == null && mayResume())
+                    .isFalse();
             close("cut");
         } else if (step instanceof Step.Fail) {
-            assertThat(mBegun).isFalse();
+            assertThat(mAnswerStarted).isFalse();
             assertWithMessage("it was sent").that(mArrivals).isGreaterThan(0);
             close("failed");
         } else {
             assertThat(step).isInstanceOf(Step.Refuse.class);
-            assertThat(mBegun).isFalse();
+            assertThat(mAnswerStarted).isFalse();
             assertWithMessage("refused though it may have run").that(mRuns).isEqualTo(0);
             close("refused");
         }
     }
 
     /** Returns whether any target may run it on, and its caller still waits for events. */
-    private boolean mayGoOn() {
+    private boolean mayResume() {
         return mRoute.mayRunAgain()
                 && mRoute.resumable()
-                && (mMayHaveRun.size() < mRoute.maxAttempts() || !mLeftAtWork.isEmpty())
-                && mNow + ENOUGH_MILLIS < mRoute.timeoutMillis()
-                && mNow + ENOUGH_MILLIS < mLostAt + mRoute.callerPatienceMillis();
+                && (mMayHaveRun.size() < mRoute.maxAttempts() || !mLeftRunning.isEmpty())
+                && mNow + MIN_RESUME_MILLIS < mRoute.timeoutMillis()
+                && mNow + MIN_RESUME_MILLIS < mInterruptedAt + mRoute.callerPatienceMillis();
     }
 
-    private void ask(Optional<Step.Send> send) {
+    private void askSuccessor(Optional<Step.Send> send) {
         if (send.isPresent()) {
-            tell("asks " + send.get());
+            log("asks " + send.get());
             assertWithMessage("one successor at a time").that(mSuccessor).isNull();
             assertThat(send.get().choice().target()).isNotEqualTo(mRun.mTarget);
-            assertThat(send.get().lastEvent()).isEqualTo(mPassed);
-            mSuccessor = new Run(send.get().choice().target(), send.get().lastEvent());
+            assertThat(send.get().resumeAfterEvent()).isEqualTo(mLastRelayedEvent);
+            mSuccessor = new Run(send.get().choice().target(), send.get().resumeAfterEvent());
         }
     }
 
-    private void follow() {
+    private void switchToSuccessor() {
         mRun = mSuccessor;
         mSuccessor = null;
-        mHeld.clear();
+        mHeldEvents.clear();
     }
 
-    private void stay() {
+    private void keepRun() {
         mSuccessor = null;
-        passHeld();
+        relayHeldEvents();
     }
 
-    private void dropSuccessor() {
+    private void discardSuccessor() {
         if (mSuccessor != null) {
-            mForwarding.onSuccessorDropped();
+            mForwarding.onSuccessorDiscarded();
             if (mSuccessor.mSent) {
-                mLeftAtWork.add(mSuccessor.mTarget);
+                mLeftRunning.add(mSuccessor.mTarget);
             }
             mSuccessor = null;
         }
     }
 
-    private void passHeld() {
-        mHeld.forEach(this::pass);
-        mHeld.clear();
+    private void relayHeldEvents() {
+        mHeldEvents.forEach(this::relay);
+        mHeldEvents.clear();
     }
 
-    private void pass(long event) {
-        assertWithMessage("the next event").that(event).isEqualTo(mPassed + 1);
-        mPassed = event;
-        mLost = false;
-        mBegun = true;
-        mForwarding.onEventPassed(event);
-        assertThat(mForwarding.lastEvent()).isEqualTo(event);
+    private void relay(long event) {
+        assertWithMessage("the next event").that(event).isEqualTo(mLastRelayedEvent + 1);
+        mLastRelayedEvent = event;
+        mInterrupted = false;
+        mAnswerStarted = true;
+        mForwarding.onEventRelayed(event);
+        assertThat(mForwarding.lastRelayedEvent()).isEqualTo(event);
     }
 
     private void onArrival(Run run) {
@@ -461,22 +470,22 @@
         mRuns--;
     }
 
-    private void close(String end) {
-        mEnd = end;
+    private void close(String outcome) {
+        mOutcome = outcome;
         mRun = null;
         mSuccessor = null;
     }
 
-    private void check() {
+    private void checkInvariants() {
         assertWithMessage("targets that run it")
                 .that(mMayHaveRun.size())
                 .isAtMost(mRoute.maxAttempts());
         if (!mRoute.mayRunAgain()) {
             assertWithMessage("runs").that(mRuns).isAtMost(1);
         }
-        double taken = mRetriesAtFirst - mRetries.left("s", mNow) - mTakenByOthers;
-        assertWithMessage("second arrivals").that(mArrivals - 1.0).isAtMost(taken + 0.001);
-        for (TargetState state : mBook.targets()) {
+        double usedRetries = mInitialRetries - mRetryBudget.available("s", mNow) - mRetriesOfOthers;
+        assertWithMessage("second arrivals").that(mArrivals - 1.0).isAtMost(usedRetries + 0.001);
+        for (TargetState state : mTargetTable.targets()) {
             Predicate<Run> isThere = run -> run != null && run.mTarget.equals(state.id());
             int open = (isThere.test(mRun) ? 1 : 0) + (isThere.test(mSuccessor) ? 1 : 0);
             assertWithMessage("open at " + state.id()).that(state.ownRequests()).isEqualTo(open);
@@ -487,26 +496,26 @@
     }
 
     private void addTarget() {
-        String id = "t" + mTargets++;
-        mBook.onReport(
+        String id = "t" + mTargetCount++;
+        mTargetTable.onReport(
                 new TargetReport(id, "s", id + ":1", "z", "v1", 4, false, 0, Map.of("m", 1L), 1));
     }
 
-    private void tell(String what) {
-        mTold.append(mNow).append(' ').append(what).append('\n');
+    private void log(String event) {
+        mTrace.append(mNow).append(' ').append(event).append('\n');
     }
 
     /** One sending, as its target sees it. */
     private static final class Run {
         final String mTarget;
-        long mMade;
+        long mLastEvent;
         boolean mSent;
-        boolean mStreams;
+        boolean mStreaming;
         boolean mRanBefore;
 
         Run(String target, long lastEvent) {
             mTarget = target;
-            mMade = lastEvent;
+            mLastEvent = lastEvent;
         }
     }
 }
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/ForwardingWalkTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/ForwardingSimulationTest.java
@@ -24,27 +24,27 @@
 /**
  * Requests whose targets do all that targets do, in any order: whatever comes, the promises hold.
  */
-class ForwardingWalkTest {
-    private static final int WALKS = 20_000;
+class ForwardingSimulationTest {
+    private static final int SIMULATIONS = 20_000;
 
     @Test
-    void promisesHoldInAnyOrderOfEvents() {
-        Map<String, Integer> ends = new TreeMap<>();
-        for (int seed = 1; seed <= WALKS; seed++) {
-            ForwardingWalk walk = new ForwardingWalk(seed);
+    void guaranteesHoldForRandomEventOrders() {
+        Map<String, Integer> outcomes = new TreeMap<>();
+        for (int seed = 1; seed <= SIMULATIONS; seed++) {
+            ForwardingSimulation simulation = new ForwardingSimulation(seed);
             try {
-                ends.merge(walk.play(), 1, Integer::sum);
-                if (walk.wasHurried()) {
-                    ends.merge("hurried", 1, Integer::sum);
+                outcomes.merge(simulation.run(), 1, Integer::sum);
+                if (simulation.wasShutdownSuccessorAsked()) {
+                    outcomes.merge("hurried", 1, Integer::sum);
                 }
             } catch (RuntimeException | AssertionError e) {
-                throw new AssertionError("seed " + seed + "\n" + walk.told(), e);
+                throw new AssertionError("seed " + seed + "\n" + simulation.trace(), e);
             }
         }
 
         // Each way to end was walked, or the walks show less than they seem to.
-        assertWithMessage("%s", ends)
-                .that(ends.keySet())
+        assertWithMessage("%s", outcomes)
+                .that(outcomes.keySet())
                 .containsAtLeast("whole", "cut", "failed", "refused", "caller gone", "hurried");
     }
 }
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/ForwardingTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/ForwardingTest.java
@@ -34,71 +34,72 @@
 class ForwardingTest {
     private static final AnswerHead OK = new AnswerHead(200, false, false, true, false);
     private static final AnswerHead STREAM = new AnswerHead(200, false, false, true, true);
-    private static final AnswerHead SHED = new AnswerHead(503, true, false, false, false);
+    private static final AnswerHead REFUSED = new AnswerHead(503, true, false, false, false);
     private static final AnswerHead MISDIRECTED = new AnswerHead(421, false, true, false, false);
     private static final AnswerHead FAILED = new AnswerHead(500, false, false, true, false);
     private static final AnswerHead UNSIGNED = new AnswerHead(200, false, false, false, false);
 
-    private final TargetBook mBook = TargetBook.create("z", 7500, new SplittableRandom(1));
+    private final TargetBook mTargets = TargetBook.create("z", 7500, new SplittableRandom(1));
     private final ShutdownAdmission mShutdown = ShutdownAdmission.create();
     private final SuspectRequests mSuspects = SuspectRequests.create();
-    private RetryAllowance mRetries = RetryAllowance.create(0.2, 100, 10_000, 1);
+    private ServiceRetryBudget mRetryBudget = ServiceRetryBudget.create(0.2, 100, 10_000, 1);
 
     @BeforeEach
     void addTargets() {
         for (String id : List.of("a", "b", "c")) {
-            mBook.onReport(
+            mTargets.onReport(
                     new TargetReport(
                             id, "s", id + ":1", "z", "v1", 4, false, 0, Map.of("m", 1L), 1));
         }
     }
 
     @Test
-    void unsafeRequestIsNeverSentAgainOnceItMayHaveRun() {
+    void nonIdempotentRequestIsNotRetriedOnceItMayHaveRun() {
         Forwarding forwarding = forwarding(RequestKind.NON_IDEMPOTENT, 3);
-        sent(forwarding.start(0), forwarding);
+        send(forwarding.start(0), forwarding);
 
-        assertThat(forwarding.onBroken(ResultCode.TARGET_LOST, 10))
+        assertThat(forwarding.onAnswerFailed(ResultCode.TARGET_LOST, 10))
                 .isEqualTo(new Step.Fail(ResultCode.TARGET_LOST));
     }
 
     @Test
-    void unsafeRequestGoesOnAfterAProvenRefusal() {
+    void nonIdempotentRequestIsRetriedAfterRefusal() {
         Forwarding forwarding = forwarding(RequestKind.NON_IDEMPOTENT, 1);
-        String first = sent(forwarding.start(0), forwarding);
+        String first = send(forwarding.start(0), forwarding);
 
-        String second = sent(forwarding.onAnswer(SHED, 5), forwarding);
-        String third = sent(forwarding.onAnswer(MISDIRECTED, 8), forwarding);
+        String second = send(forwarding.onAnswerHead(REFUSED, 5), forwarding);
+        String third = send(forwarding.onAnswerHead(MISDIRECTED, 8), forwarding);
 
         assertThat(List.of(first, second, third)).containsNoDuplicates();
-        assertThat(forwarding.onAnswer(OK, 20)).isEqualTo(new Step.PassOn());
+        assertThat(forwarding.onAnswerHead(OK, 20)).isEqualTo(new Step.Relay());
     }
 
     @Test
-    void refusalIsToldOnlyIfNothingRan() {
+    void refusalIsReportedOnlyIfNothingRan() {
         Forwarding forwarding = forwarding(RequestKind.IDEMPOTENT, 3);
-        sent(forwarding.start(0), forwarding);
-        sent(forwarding.onBroken(ResultCode.TARGET_LOST, 5), forwarding);
-        sent(forwarding.onAnswer(SHED, 10), forwarding);
+        send(forwarding.start(0), forwarding);
+        send(forwarding.onAnswerFailed(ResultCode.TARGET_LOST, 5), forwarding);
+        send(forwarding.onAnswerHead(REFUSED, 10), forwarding);
 
-        assertThat(forwarding.onAnswer(SHED, 15)).isEqualTo(new Step.Fail(ResultCode.TARGET_LOST));
+        assertThat(forwarding.onAnswerHead(REFUSED, 15))
+                .isEqualTo(new Step.Fail(ResultCode.TARGET_LOST));
     }
 
     @Test
-    void allTargetsRefuseAndTheCallerHearsThatNothingRan() {
+    void refusalByAllTargetsIsReportedAsNotRun() {
         Forwarding forwarding = forwarding(RequestKind.NON_IDEMPOTENT, 1);
-        sent(forwarding.start(0), forwarding);
-        sent(forwarding.onAnswer(SHED, 5), forwarding);
-        sent(forwarding.onAnswer(SHED, 10), forwarding);
+        send(forwarding.start(0), forwarding);
+        send(forwarding.onAnswerHead(REFUSED, 5), forwarding);
+        send(forwarding.onAnswerHead(REFUSED, 10), forwarding);
 
-        Step end = forwarding.onAnswer(SHED, 15);
+        Step end = forwarding.onAnswerHead(REFUSED, 15);
 
         assertThat(end).isInstanceOf(Step.Refuse.class);
         assertThat(((Step.Refuse) end).retryAfterMillis()).isGreaterThan(0L);
     }
 
     @Test
-    void requestThatCrashesTargetsIsRefusedUnrun() {
+    void poisonRequestIsRefusedWithoutRunning() {
         refuseUntil(700);
 
         Step.Refuse refusal = (Step.Refuse) forwarding(RequestKind.IDEMPOTENT, 2).start(0);
@@ -108,454 +109,450 @@
     }
 
     @Test
-    void requestThatIsFoundToCrashTargetsIsNotSentAgain() {
+    void requestFoundToBePoisonIsNotRetried() {
         Forwarding forwarding = forwarding(RequestKind.IDEMPOTENT, 2);
-        sent(forwarding.start(0), forwarding);
+        send(forwarding.start(0), forwarding);
         refuseUntil(700);
 
-        assertThat(forwarding.onBroken(ResultCode.TARGET_LOST, 5))
+        assertThat(forwarding.onAnswerFailed(ResultCode.TARGET_LOST, 5))
                 .isEqualTo(new Step.Fail(ResultCode.TARGET_LOST));
     }
 
     @Test
-    void requestThatComesBackAfterItsRefusalIsSentToOneTarget() {
+    void requestIsSentToOneTargetOnceItsRefusalExpires() {
         refuseUntil(10);
         Forwarding forwarding = forwarding(RequestKind.IDEMPOTENT, 2);
-        sent(forwarding.start(20), forwarding);
+        send(forwarding.start(20), forwarding);
 
-        assertThat(forwarding.onBroken(ResultCode.TARGET_LOST, 25))
+        assertThat(forwarding.onAnswerFailed(ResultCode.TARGET_LOST, 25))
                 .isEqualTo(new Step.Fail(ResultCode.TARGET_LOST));
     }
 
     @Test
     void attemptsAreBoundedByTheRoute() {
         Forwarding forwarding = forwarding(RequestKind.IDEMPOTENT, 2);
-        sent(forwarding.start(0), forwarding);
-        sent(forwarding.onBroken(ResultCode.TARGET_LOST, 5), forwarding);
+        send(forwarding.start(0), forwarding);
+        send(forwarding.onAnswerFailed(ResultCode.TARGET_LOST, 5), forwarding);
 
-        assertThat(forwarding.onBroken(ResultCode.TARGET_LOST, 10))
+        assertThat(forwarding.onAnswerFailed(ResultCode.TARGET_LOST, 10))
                 .isEqualTo(new Step.Fail(ResultCode.TARGET_LOST));
     }
 
     @Test
-    void withoutAllowanceNothingIsSentTwice() {
-        mRetries = RetryAllowance.create(0, 0, 10_000, 1);
+    void nothingIsRetriedWithoutRetryBudget() {
+        mRetryBudget = ServiceRetryBudget.create(0, 0, 10_000, 1);
         Forwarding forwarding = forwarding(RequestKind.IDEMPOTENT, 3);
-        sent(forwarding.start(0), forwarding);
+        send(forwarding.start(0), forwarding);
 
-        assertThat(forwarding.onBroken(ResultCode.TARGET_LOST, 5))
+        assertThat(forwarding.onAnswerFailed(ResultCode.TARGET_LOST, 5))
                 .isEqualTo(new Step.Fail(ResultCode.TARGET_LOST));
     }
 
     @Test
-    void targetOutOfReachCostsNoAttempt() {
-        mRetries = RetryAllowance.create(0, 0, 10_000, 1);
+    void unreachableTargetUsesNoAttempt() {
+        mRetryBudget = ServiceRetryBudget.create(0, 0, 10_000, 1);
         Forwarding forwarding = forwarding(RequestKind.NON_IDEMPOTENT, 1);
         forwarding.start(0);
-        Step next = forwarding.onUnsent(3);
+        Step next = forwarding.onUnreachable(3);
 
         assertThat(next).isInstanceOf(Step.Send.class);
     }
 
     @Test
-    void answerWithoutItsMarkIsNoAnswer() {
+    void unsignedAnswerIsNotRelayed() {
         Forwarding once = forwarding(RequestKind.NON_IDEMPOTENT, 1);
-        sent(once.start(0), once);
-        assertThat(once.onAnswer(UNSIGNED, 5)).isEqualTo(new Step.Fail(ResultCode.ANSWER_SPOILED));
+        send(once.start(0), once);
+        assertThat(once.onAnswerHead(UNSIGNED, 5))
+                .isEqualTo(new Step.Fail(ResultCode.ANSWER_SPOILED));
 
         Forwarding again = forwarding(RequestKind.IDEMPOTENT, 2);
-        sent(again.start(0), again);
-        sent(again.onAnswer(UNSIGNED, 5), again);
+        send(again.start(0), again);
+        send(again.onAnswerHead(UNSIGNED, 5), again);
     }
 
     @Test
-    void genuineFailureIsPassedOnWhenNoAttemptIsLeft() {
+    void targetErrorIsRelayedWhenNoAttemptIsLeft() {
         Forwarding forwarding = forwarding(RequestKind.IDEMPOTENT, 2);
-        sent(forwarding.start(0), forwarding);
-        sent(forwarding.onAnswer(FAILED, 5), forwarding);
+        send(forwarding.start(0), forwarding);
+        send(forwarding.onAnswerHead(FAILED, 5), forwarding);
 
-        assertThat(forwarding.onAnswer(FAILED, 10)).isEqualTo(new Step.PassOn());
+        assertThat(forwarding.onAnswerHead(FAILED, 10)).isEqualTo(new Step.Relay());
     }
 
     @Test
-    void resumableStreamGoesOnAfterTheLastEventPassed() {
+    void resumableStreamResumesAfterTheLastRelayedEvent() {
         Forwarding forwarding = forwarding(RequestKind.STREAMING, 2);
-        sent(forwarding.start(0), forwarding);
-        assertThat(forwarding.onAnswer(STREAM, 5)).isEqualTo(new Step.PassOn());
-        forwarding.onEventPassed(7);
+        send(forwarding.start(0), forwarding);
+        assertThat(forwarding.onAnswerHead(STREAM, 5)).isEqualTo(new Step.Relay());
+        forwarding.onEventRelayed(7);
 
-        Step next = forwarding.onBroken(ResultCode.TARGET_LOST, 50);
+        Step next = forwarding.onAnswerFailed(ResultCode.TARGET_LOST, 50);
 
-        assertThat(((Step.Send) next).lastEvent()).isEqualTo(7);
+        assertThat(((Step.Send) next).resumeAfterEvent()).isEqualTo(7);
     }
 
     @Test
-    void brokenStreamThatCantGoOnIsCut() {
+    void brokenStreamThatCannotResumeIsAborted() {
         Forwarding forwarding = forwarding(RequestKind.STREAMING, 1);
-        sent(forwarding.start(0), forwarding);
-        forwarding.onAnswer(STREAM, 5);
-        forwarding.onEventPassed(7);
+        send(forwarding.start(0), forwarding);
+        forwarding.onAnswerHead(STREAM, 5);
+        forwarding.onEventRelayed(7);
 
-        assertThat(forwarding.onBroken(ResultCode.TARGET_LOST, 50))
-                .isEqualTo(new Step.Break(ResultCode.TARGET_LOST, CutCause.TARGET));
+        assertThat(forwarding.onAnswerFailed(ResultCode.TARGET_LOST, 50))
+                .isEqualTo(new Step.Abort(ResultCode.TARGET_LOST, CutCause.TARGET));
     }
 
-    /**
-     * A whole answer, or a failure, of the target that a stream was to go on at was passed on into
-     * the open stream, where it is nothing: the caller got neither an end nor a close.
-     */
+    /** Such an answer was relayed into the open stream, which then was neither ended nor closed. */
     @Test
-    void streamThatGoesOnElsewhereIsCutIfNoStreamComesFromThere() {
+    void resumedStreamIsAbortedIfTheNewAnswerIsNoStream() {
         AnswerHead unreadable = new AnswerHead(400, false, false, false, false);
         for (AnswerHead head : List.of(FAILED, unreadable, OK)) {
             Forwarding forwarding = forwarding(RequestKind.STREAMING, 2);
-            sent(forwarding.start(0), forwarding);
-            forwarding.onAnswer(STREAM, 5);
-            forwarding.onEventPassed(7);
-            sent(forwarding.onBroken(ResultCode.TARGET_LOST, 50), forwarding);
+            send(forwarding.start(0), forwarding);
+            forwarding.onAnswerHead(STREAM, 5);
+            forwarding.onEventRelayed(7);
+            send(forwarding.onAnswerFailed(ResultCode.TARGET_LOST, 50), forwarding);
 
-            assertThat(forwarding.onAnswer(head, 60))
-                    .isEqualTo(new Step.Break(ResultCode.STREAM_BROKEN, CutCause.TARGET));
+            assertThat(forwarding.onAnswerHead(head, 60))
+                    .isEqualTo(new Step.Abort(ResultCode.STREAM_BROKEN, CutCause.TARGET));
         }
     }
 
     /** Its caller was to be told by a whole answer, for which an open stream has no place. */
     @Test
-    void streamThatGoesOnElsewhereIsCutIfTheAnswerThereBearsNoMark() {
+    void resumedStreamIsAbortedIfTheNewAnswerIsUnsigned() {
         Forwarding forwarding = forwarding(RequestKind.STREAMING, 2);
-        sent(forwarding.start(0), forwarding);
-        forwarding.onAnswer(STREAM, 5);
-        forwarding.onEventPassed(7);
-        sent(forwarding.onBroken(ResultCode.TARGET_LOST, 50), forwarding);
+        send(forwarding.start(0), forwarding);
+        forwarding.onAnswerHead(STREAM, 5);
+        forwarding.onEventRelayed(7);
+        send(forwarding.onAnswerFailed(ResultCode.TARGET_LOST, 50), forwarding);
 
-        assertThat(forwarding.onAnswer(UNSIGNED, 60))
-                .isEqualTo(new Step.Break(ResultCode.ANSWER_SPOILED, CutCause.TARGET));
+        assertThat(forwarding.onAnswerHead(UNSIGNED, 60))
+                .isEqualTo(new Step.Abort(ResultCode.ANSWER_SPOILED, CutCause.TARGET));
     }
 
     @Test
-    void streamGoesOnAtAThirdTargetIfTheSecondFails() {
+    void streamResumesAtAThirdTargetIfTheSecondFails() {
         Forwarding forwarding = forwarding(RequestKind.STREAMING, 3);
-        String first = sent(forwarding.start(0), forwarding);
-        forwarding.onAnswer(STREAM, 5);
-        forwarding.onEventPassed(7);
-        String second = sent(forwarding.onBroken(ResultCode.TARGET_LOST, 50), forwarding);
+        String first = send(forwarding.start(0), forwarding);
+        forwarding.onAnswerHead(STREAM, 5);
+        forwarding.onEventRelayed(7);
+        String second = send(forwarding.onAnswerFailed(ResultCode.TARGET_LOST, 50), forwarding);
 
-        Step next = forwarding.onAnswer(FAILED, 60);
+        Step next = forwarding.onAnswerHead(FAILED, 60);
 
-        assertThat(List.of(first, second, sent(next, forwarding))).containsNoDuplicates();
-        assertThat(((Step.Send) next).lastEvent()).isEqualTo(7);
+        assertThat(List.of(first, second, send(next, forwarding))).containsNoDuplicates();
+        assertThat(((Step.Send) next).resumeAfterEvent()).isEqualTo(7);
     }
 
     @Test
-    void timeOverIsARefusalOnlyIfNothingWasSent() {
+    void deadlineIsARefusalOnlyIfNothingWasSent() {
         Forwarding sent = forwarding(RequestKind.NON_IDEMPOTENT, 1);
-        sent(sent.start(0), sent);
-        assertThat(sent.onTimeOver(1000)).isEqualTo(new Step.Fail(ResultCode.ROUTE_TIMEOUT));
+        send(sent.start(0), sent);
+        assertThat(sent.onDeadline(1000)).isEqualTo(new Step.Fail(ResultCode.ROUTE_TIMEOUT));
 
         Forwarding unsent = forwarding(RequestKind.NON_IDEMPOTENT, 1);
         unsent.start(0);
-        assertThat(unsent.onTimeOver(1000)).isInstanceOf(Step.Refuse.class);
+        assertThat(unsent.onDeadline(1000)).isInstanceOf(Step.Refuse.class);
     }
 
     @Test
-    void withoutATargetTheRequestWaitsABitAndIsRefused() {
-        List.of("a", "b", "c").forEach(mBook::onGone);
+    void requestWithoutTargetWaitsBrieflyAndIsRefused() {
+        List.of("a", "b", "c").forEach(mTargets::onGone);
         Forwarding forwarding = forwarding(RequestKind.NON_IDEMPOTENT, 1);
 
         assertThat(forwarding.start(0)).isInstanceOf(Step.Wait.class);
-        assertThat(forwarding.onWaited(60)).isInstanceOf(Step.Wait.class);
-        assertThat(forwarding.onWaited(95)).isInstanceOf(Step.Refuse.class);
+        assertThat(forwarding.onWaitElapsed(60)).isInstanceOf(Step.Wait.class);
+        assertThat(forwarding.onWaitElapsed(95)).isInstanceOf(Step.Refuse.class);
     }
 
     /** Giving a busy engine up once made it read the same prompts again elsewhere, without end. */
     @Test
-    void busyTargetIsNotTakenForASilentOne() {
+    void busyTargetIsNotTreatedAsUnresponsive() {
         Forwarding forwarding = forwarding(RequestKind.IDEMPOTENT, 2);
-        String target = sent(forwarding.start(0), forwarding);
-        assertThat(forwarding.isSilenceTelling(900)).isTrue();
+        String target = send(forwarding.start(0), forwarding);
+        assertThat(forwarding.mayReplaceTarget(900)).isTrue();
 
-        mBook.onHeard(target, 800);
+        mTargets.onHeard(target, 800);
 
-        assertThat(forwarding.isSilenceTelling(900)).isFalse();
+        assertThat(forwarding.mayReplaceTarget(900)).isFalse();
     }
 
     /** An engine waited for its longest stream for 3 to 5 s before it loaded for 0.8 s. */
     @Test
-    void resumableStreamGoesOnElsewhereWhenItsTargetWaitsToLoad() {
+    void resumableStreamMovesWhenItsTargetWaitsToLoad() {
         Forwarding forwarding = forwarding(RequestKind.STREAMING, 2);
-        String first = sent(forwarding.start(0), forwarding);
-        forwarding.onAnswer(STREAM, 10);
-        forwarding.onEventPassed(4);
+        String first = send(forwarding.start(0), forwarding);
+        forwarding.onAnswerHead(STREAM, 10);
+        forwarding.onEventRelayed(4);
 
-        Step.Send second = forwarding.onTargetWaits(20).get();
+        Step.Send second = forwarding.onLoadPending(20).get();
 
         assertThat(second.choice().target()).isNotEqualTo(first);
-        assertThat(second.lastEvent()).isEqualTo(4);
+        assertThat(second.resumeAfterEvent()).isEqualTo(4);
         assertThat(forwarding.holdsEvents()).isTrue();
         forwarding.onSuccessorSending();
-        forwarding.onSuccessorBegun();
-        forwarding.onAnswer(STREAM, 30);
-        forwarding.onEventPassed(5);
-        assertThat(forwarding.onTargetWaits(40)).isEqualTo(Optional.empty());
+        forwarding.onSuccessorStarted();
+        forwarding.onAnswerHead(STREAM, 30);
+        forwarding.onEventRelayed(5);
+        assertThat(forwarding.onLoadPending(40)).isEqualTo(Optional.empty());
     }
 
     @Test
     void otherRequestsStayWhenTheirTargetWaitsToLoad() {
         Forwarding waiting = forwarding(RequestKind.STREAMING, 2);
-        sent(waiting.start(0), waiting);
-        assertThat(waiting.onTargetWaits(20)).isEqualTo(Optional.empty());
+        send(waiting.start(0), waiting);
+        assertThat(waiting.onLoadPending(20)).isEqualTo(Optional.empty());
 
-        Forwarding unsafe = forwarding(RequestKind.NON_IDEMPOTENT, 2);
-        sent(unsafe.start(0), unsafe);
-        unsafe.onAnswer(OK, 10);
-        unsafe.onEventPassed(1);
-        assertThat(unsafe.onTargetWaits(20)).isEqualTo(Optional.empty());
+        Forwarding nonIdempotent = forwarding(RequestKind.NON_IDEMPOTENT, 2);
+        send(nonIdempotent.start(0), nonIdempotent);
+        nonIdempotent.onAnswerHead(OK, 10);
+        nonIdempotent.onEventRelayed(1);
+        assertThat(nonIdempotent.onLoadPending(20)).isEqualTo(Optional.empty());
     }
 
     @Test
-    void streamStaysWhenNoOtherTargetIsLeftOrTheAllowanceIsUsedUp() {
-        mRetries = RetryAllowance.create(0, 0, 10_000, 1);
-        Forwarding poor = forwarding(RequestKind.STREAMING, 2);
-        sent(poor.start(0), poor);
-        poor.onAnswer(STREAM, 10);
-        poor.onEventPassed(4);
-        assertThat(poor.onTargetWaits(20)).isEqualTo(Optional.empty());
+    void streamStaysWithoutAnotherTargetOrRetryBudget() {
+        mRetryBudget = ServiceRetryBudget.create(0, 0, 10_000, 1);
+        Forwarding withoutBudget = forwarding(RequestKind.STREAMING, 2);
+        send(withoutBudget.start(0), withoutBudget);
+        withoutBudget.onAnswerHead(STREAM, 10);
+        withoutBudget.onEventRelayed(4);
+        assertThat(withoutBudget.onLoadPending(20)).isEqualTo(Optional.empty());
 
-        mRetries = RetryAllowance.create(0.2, 100, 10_000, 1);
-        Forwarding alone = forwarding(RequestKind.STREAMING, 2);
-        String only = sent(alone.start(0), alone);
-        alone.onAnswer(STREAM, 10);
-        alone.onEventPassed(4);
-        List.of("a", "b", "c").stream().filter(id -> !id.equals(only)).forEach(mBook::onGone);
-        assertThat(alone.onTargetWaits(20)).isEqualTo(Optional.empty());
+        mRetryBudget = ServiceRetryBudget.create(0.2, 100, 10_000, 1);
+        Forwarding singleTarget = forwarding(RequestKind.STREAMING, 2);
+        String only = send(singleTarget.start(0), singleTarget);
+        singleTarget.onAnswerHead(STREAM, 10);
+        singleTarget.onEventRelayed(4);
+        List.of("a", "b", "c").stream().filter(id -> !id.equals(only)).forEach(mTargets::onGone);
+        assertThat(singleTarget.onLoadPending(20)).isEqualTo(Optional.empty());
     }
 
     /** A stream that was moved with the last second attempt was cut if its new target shed it. */
     @Test
-    void streamStaysWhereItIsIfItsSuccessorRefusesIt() {
-        mRetries = RetryAllowance.create(0, 3.75, 10_000, 1);
-        Forwarding moved = underWay();
-        moved.onTargetWaits(20);
+    void streamStaysIfItsSuccessorRefuses() {
+        mRetryBudget = ServiceRetryBudget.create(0, 3.75, 10_000, 1);
+        Forwarding moved = startedStream();
+        moved.onLoadPending(20);
 
         moved.onSuccessorSending();
-        moved.onSuccessorRefused(SHED, 30);
+        moved.onSuccessorRefused(REFUSED, 30);
 
-        assertThat(moved.onTargetWaits(40)).isEqualTo(Optional.empty());
+        assertThat(moved.onLoadPending(40)).isEqualTo(Optional.empty());
         assertThat(moved.holdsEvents()).isFalse();
-        moved.onEventPassed(5);
-        assertThat(moved.lastEvent()).isEqualTo(5);
+        moved.onEventRelayed(5);
+        assertThat(moved.lastRelayedEvent()).isEqualTo(5);
     }
 
     /** Its events would wait longer than they may, and the prompt would be read for nothing. */
     @Test
-    void streamStaysWhereAllOthersBeginTooLate() {
-        Forwarding stays = underWay();
-        List.of("a", "b", "c").forEach(id -> mBook.onOthersLoad(id, 1000, 0));
+    void streamStaysIfAllOthersWouldStartTooLate() {
+        Forwarding stays = startedStream();
+        List.of("a", "b", "c").forEach(id -> mTargets.onOthersLoad(id, 1000, 0));
 
-        assertThat(stays.onTargetWaits(20)).isEqualTo(Optional.empty());
-        assertThat(stays.onSilence(900)).isNotEqualTo(Optional.empty());
+        assertThat(stays.onLoadPending(20)).isEqualTo(Optional.empty());
+        assertThat(stays.onTargetUnresponsive(900)).isNotEqualTo(Optional.empty());
     }
 
     /** Two second attempts stay for answers whose target fails. */
     @Test
-    void streamIsMovedOnlyIfAttemptsAreLeftForFailures() {
-        mRetries = RetryAllowance.create(0, 3.75, 10_000, 1);
-        assertThat(underWay().onTargetWaits(20)).isNotEqualTo(Optional.empty());
+    void streamIsMovedOnlyIfRetriesAreLeftForFailures() {
+        mRetryBudget = ServiceRetryBudget.create(0, 3.75, 10_000, 1);
+        assertThat(startedStream().onLoadPending(20)).isNotEqualTo(Optional.empty());
 
-        assertThat(underWay().onTargetWaits(60)).isEqualTo(Optional.empty());
+        assertThat(startedStream().onLoadPending(60)).isEqualTo(Optional.empty());
     }
 
     /** What only was a wish once used up what protects against a failure. */
     @Test
-    void movedStreamGoesOnWhereItWasLeftIfItsNewTargetFails() {
+    void movedStreamReturnsToItsOldTargetIfTheNewOneFails() {
         Forwarding moved = forwarding(RequestKind.STREAMING, 2);
-        String first = begin(moved);
-        moved.onTargetWaits(20);
+        String first = startStream(moved);
+        moved.onLoadPending(20);
         moved.onSuccessorSending();
-        moved.onSuccessorBegun();
-        moved.onAnswer(STREAM, 30);
-        moved.onEventPassed(5);
+        moved.onSuccessorStarted();
+        moved.onAnswerHead(STREAM, 30);
+        moved.onEventRelayed(5);
 
-        Step next = moved.onBroken(ResultCode.TARGET_LOST, 40);
+        Step next = moved.onAnswerFailed(ResultCode.TARGET_LOST, 40);
 
-        assertThat(sent(next, moved)).isEqualTo(first);
-        assertThat(((Step.Send) next).lastEvent()).isEqualTo(5);
+        assertThat(send(next, moved)).isEqualTo(first);
+        assertThat(((Step.Send) next).resumeAfterEvent()).isEqualTo(5);
     }
 
     /** The successor was asked for the events after the last one passed: it is the run now. */
     @Test
-    void successorIsTheRunIfTheOneBeforeItFails() {
-        Forwarding moved = underWay();
-        moved.onTargetWaits(20);
+    void successorTakesOverIfTheRunFails() {
+        Forwarding moved = startedStream();
+        moved.onLoadPending(20);
         moved.onSuccessorSending();
 
-        assertThat(moved.onBroken(ResultCode.TARGET_LOST, 30)).isEqualTo(new Step.Follow());
-        assertThat(moved.onAnswer(STREAM, 40)).isEqualTo(new Step.PassOn());
+        assertThat(moved.onAnswerFailed(ResultCode.TARGET_LOST, 30))
+                .isEqualTo(new Step.AwaitSuccessor());
+        assertThat(moved.onAnswerHead(STREAM, 40)).isEqualTo(new Step.Relay());
     }
 
     /** A stream was cut at once for want of a second attempt that was there half a second later. */
     @Test
-    void brokenStreamWaitsForASecondAttempt() {
-        mRetries = RetryAllowance.create(0, 1.25, 200, 1);
-        Forwarding spends = underWay();
-        sent(spends.onBroken(ResultCode.TARGET_LOST, 20), spends);
-        Forwarding poor = underWay();
+    void brokenStreamWaitsForRetryBudget() {
+        mRetryBudget = ServiceRetryBudget.create(0, 1.25, 200, 1);
+        Forwarding spender = startedStream();
+        send(spender.onAnswerFailed(ResultCode.TARGET_LOST, 20), spender);
+        Forwarding waiting = startedStream();
 
-        Step step = poor.onBroken(ResultCode.TARGET_LOST, 30);
+        Step step = waiting.onAnswerFailed(ResultCode.TARGET_LOST, 30);
         assertThat(step).isInstanceOf(Step.Wait.class);
         while (step instanceof Step.Wait wait) {
-            step = poor.onWaited(wait.until());
+            step = waiting.onWaitElapsed(wait.until());
         }
 
-        sent(step, poor);
+        send(step, waiting);
     }
 
     /** Nobody is there, and the caller leaves: then it is cut, by the target's failure. */
     @Test
-    void brokenStreamIsCutIfNobodyTakesItInTime() {
-        Forwarding alone = underWay();
-        List.of("a", "b", "c").forEach(mBook::onGone);
+    void brokenStreamIsAbortedIfNoTargetIsFoundInTime() {
+        Forwarding stream = startedStream();
+        List.of("a", "b", "c").forEach(mTargets::onGone);
 
-        Step step = alone.onBroken(ResultCode.TARGET_LOST, 30);
+        Step step = stream.onAnswerFailed(ResultCode.TARGET_LOST, 30);
         while (step instanceof Step.Wait wait) {
-            step = alone.onWaited(wait.until());
+            step = stream.onWaitElapsed(wait.until());
         }
 
-        assertThat(step).isEqualTo(new Step.Break(ResultCode.TARGET_LOST, CutCause.TARGET));
+        assertThat(step).isEqualTo(new Step.Abort(ResultCode.TARGET_LOST, CutCause.TARGET));
     }
 
     /** A silent run is kept as well: it may speak again, and nobody else need take it. */
     @Test
-    void silentRunIsKeptUntilAnotherBegins() {
-        Forwarding silent = forwarding(RequestKind.IDEMPOTENT, 2);
-        sent(silent.start(0), silent);
-        assertThat(silent.onSilence(900)).isNotEqualTo(Optional.empty());
-        silent.onSuccessorSending();
-        silent.onSuccessorRefused(SHED, 910);
+    void unresponsiveRunIsKeptUntilItsSuccessorStarts() {
+        Forwarding forwarding = forwarding(RequestKind.IDEMPOTENT, 2);
+        send(forwarding.start(0), forwarding);
+        assertThat(forwarding.onTargetUnresponsive(900)).isNotEqualTo(Optional.empty());
+        forwarding.onSuccessorSending();
+        forwarding.onSuccessorRefused(REFUSED, 910);
 
-        assertThat(silent.onAnswer(OK, 920)).isEqualTo(new Step.PassOn());
+        assertThat(forwarding.onAnswerHead(OK, 920)).isEqualTo(new Step.Relay());
     }
 
     /** A stream was cut on its second target after a second of silence, with nowhere left to go. */
     @Test
-    void silenceTellsNothingWhenNobodyElseCouldAnswer() {
-        Forwarding last = forwarding(RequestKind.STREAMING, 2);
-        sent(last.start(0), last);
-        assertThat(last.isSilenceTelling(900)).isTrue();
-        sent(last.onBroken(ResultCode.TARGET_LOST, 10), last);
-        assertThat(last.isSilenceTelling(900)).isFalse();
+    void targetIsNotReplacedWhenNoOtherCouldAnswer() {
+        Forwarding lastAttempt = forwarding(RequestKind.STREAMING, 2);
+        send(lastAttempt.start(0), lastAttempt);
+        assertThat(lastAttempt.mayReplaceTarget(900)).isTrue();
+        send(lastAttempt.onAnswerFailed(ResultCode.TARGET_LOST, 10), lastAttempt);
+        assertThat(lastAttempt.mayReplaceTarget(900)).isFalse();
 
-        Forwarding alone = forwarding(RequestKind.STREAMING, 2);
-        String only = sent(alone.start(0), alone);
-        List.of("a", "b", "c").stream().filter(id -> !id.equals(only)).forEach(mBook::onGone);
-        assertThat(alone.isSilenceTelling(900)).isFalse();
+        Forwarding singleTarget = forwarding(RequestKind.STREAMING, 2);
+        String only = send(singleTarget.start(0), singleTarget);
+        List.of("a", "b", "c").stream().filter(id -> !id.equals(only)).forEach(mTargets::onGone);
+        assertThat(singleTarget.mayReplaceTarget(900)).isFalse();
     }
 
-    /**
-     * What is silent is only left for another target: without a second attempt left, or any time,
-     * an answer was given up whose target was still at work.
-     */
+    /** Otherwise an answer would be abandoned although its target still works on it. */
     @Test
-    void silenceTellsNothingWithoutASecondAttempt() {
-        mRetries = RetryAllowance.create(0, 0, 10_000, 1);
-        Forwarding poor = forwarding(RequestKind.STREAMING, 2);
-        sent(poor.start(0), poor);
-        poor.onAnswer(STREAM, 10);
-        poor.onEventPassed(4);
+    void targetIsNotReplacedWithoutRetryBudgetOrTime() {
+        mRetryBudget = ServiceRetryBudget.create(0, 0, 10_000, 1);
+        Forwarding withoutBudget = forwarding(RequestKind.STREAMING, 2);
+        send(withoutBudget.start(0), withoutBudget);
+        withoutBudget.onAnswerHead(STREAM, 10);
+        withoutBudget.onEventRelayed(4);
 
-        assertThat(poor.isSilenceTelling(900)).isFalse();
+        assertThat(withoutBudget.mayReplaceTarget(900)).isFalse();
 
-        mRetries = RetryAllowance.create(0.2, 100, 10_000, 1);
+        mRetryBudget = ServiceRetryBudget.create(0.2, 100, 10_000, 1);
         Forwarding late = forwarding(RequestKind.IDEMPOTENT, 2);
-        sent(late.start(0), late);
-        assertThat(late.isSilenceTelling(900)).isTrue();
-        assertThat(late.isSilenceTelling(980)).isFalse();
+        send(late.start(0), late);
+        assertThat(late.mayReplaceTarget(900)).isTrue();
+        assertThat(late.mayReplaceTarget(980)).isFalse();
     }
 
     /** What may not go on elsewhere was given up for its target's silence all the same. */
     @Test
-    void silenceTellsNothingOfWhatMayNotRunElsewhere() {
-        Forwarding unsafe = forwarding(RequestKind.NON_IDEMPOTENT, 2);
-        sent(unsafe.start(0), unsafe);
-        assertThat(unsafe.isSilenceTelling(900)).isFalse();
+    void targetIsNotReplacedIfTheRequestMayNotRunElsewhere() {
+        Forwarding nonIdempotent = forwarding(RequestKind.NON_IDEMPOTENT, 2);
+        send(nonIdempotent.start(0), nonIdempotent);
+        assertThat(nonIdempotent.mayReplaceTarget(900)).isFalse();
 
-        Forwarding begun = forwarding(RequestKind.IDEMPOTENT, 2);
-        sent(begun.start(0), begun);
-        begun.onAnswer(STREAM, 10);
-        begun.onEventPassed(1);
-        assertThat(begun.isSilenceTelling(900)).isFalse();
+        Forwarding started = forwarding(RequestKind.IDEMPOTENT, 2);
+        send(started.start(0), started);
+        started.onAnswerHead(STREAM, 10);
+        started.onEventRelayed(1);
+        assertThat(started.mayReplaceTarget(900)).isFalse();
     }
 
     /** The target that failed was counted as one that might do better, and its answer was lost. */
     @Test
-    void failureOfTheOnlyTargetIsPassedOn() {
-        List.of("b", "c").forEach(mBook::onGone);
+    void errorOfTheOnlyTargetIsRelayed() {
+        List.of("b", "c").forEach(mTargets::onGone);
         Forwarding forwarding = forwarding(RequestKind.IDEMPOTENT, 3);
-        sent(forwarding.start(0), forwarding);
+        send(forwarding.start(0), forwarding);
 
-        assertThat(forwarding.onAnswer(FAILED, 10)).isEqualTo(new Step.PassOn());
+        assertThat(forwarding.onAnswerHead(FAILED, 10)).isEqualTo(new Step.Relay());
     }
 
     /** Nothing says that a second run of such a request makes the same events. */
     @Test
-    void answerUnderWayIsNotContinuedUnlessItMayBeResumed() {
+    void startedAnswerIsNotContinuedUnlessResumable() {
         Forwarding forwarding = forwarding(RequestKind.IDEMPOTENT, 3);
-        sent(forwarding.start(0), forwarding);
-        forwarding.onAnswer(STREAM, 10);
-        forwarding.onEventPassed(1);
+        send(forwarding.start(0), forwarding);
+        forwarding.onAnswerHead(STREAM, 10);
+        forwarding.onEventRelayed(1);
 
-        assertThat(forwarding.onTargetWaits(15)).isEqualTo(Optional.empty());
-        assertThat(forwarding.onBroken(ResultCode.TARGET_LOST, 20))
-                .isEqualTo(new Step.Break(ResultCode.TARGET_LOST, CutCause.TARGET));
+        assertThat(forwarding.onLoadPending(15)).isEqualTo(Optional.empty());
+        assertThat(forwarding.onAnswerFailed(ResultCode.TARGET_LOST, 20))
+                .isEqualTo(new Step.Abort(ResultCode.TARGET_LOST, CutCause.TARGET));
     }
 
     /** Before the repair an instance ended without a word to whom it hadn't answered yet. */
     @Test
-    void endOfTheInstanceTellsWhatIsTrue() {
+    void shutdownDeadlineReportsWhetherTheRequestMayHaveRun() {
         Forwarding unsent = forwarding(RequestKind.NON_IDEMPOTENT, 1);
         unsent.start(0);
-        assertThat(unsent.onInstanceEnds()).isInstanceOf(Step.Refuse.class);
+        assertThat(unsent.onShutdownDeadline()).isInstanceOf(Step.Refuse.class);
 
         Forwarding sent = forwarding(RequestKind.NON_IDEMPOTENT, 1);
-        sent(sent.start(0), sent);
-        assertThat(sent.onInstanceEnds()).isEqualTo(new Step.Fail(ResultCode.CUT_BY_SHUTDOWN));
+        send(sent.start(0), sent);
+        assertThat(sent.onShutdownDeadline()).isEqualTo(new Step.Fail(ResultCode.CUT_BY_SHUTDOWN));
 
-        Forwarding begun = forwarding(RequestKind.STREAMING, 2);
-        sent(begun.start(0), begun);
-        begun.onAnswer(STREAM, 10);
-        begun.onEventPassed(4);
-        assertThat(begun.onInstanceEnds())
-                .isEqualTo(new Step.Break(ResultCode.CUT_BY_SHUTDOWN, CutCause.SHUTDOWN));
+        Forwarding started = forwarding(RequestKind.STREAMING, 2);
+        send(started.start(0), started);
+        started.onAnswerHead(STREAM, 10);
+        started.onEventRelayed(4);
+        assertThat(started.onShutdownDeadline())
+                .isEqualTo(new Step.Abort(ResultCode.CUT_BY_SHUTDOWN, CutCause.SHUTDOWN));
     }
 
     @Test
-    void shutdownRefusesWhatHasNotRunAndAsksNothingOfSecondAttempts() {
+    void shutdownRefusesOnlyRequestsThatHaveNotRun() {
         Forwarding running = forwarding(RequestKind.STREAMING, 3);
-        sent(running.start(0), running);
+        send(running.start(0), running);
         Forwarding refused = forwarding(RequestKind.STREAMING, 3);
-        sent(refused.start(0), refused);
+        send(refused.start(0), refused);
 
         mShutdown.onShutdown(500);
 
         assertThat(forwarding(RequestKind.STREAMING, 3).start(10)).isEqualTo(mShutdown.refusal(10));
-        assertThat(refused.onAnswer(SHED, 10)).isEqualTo(mShutdown.refusal(10));
-        sent(running.onBroken(ResultCode.TARGET_LOST, 10), running);
+        assertThat(refused.onAnswerHead(REFUSED, 10)).isEqualTo(mShutdown.refusal(10));
+        send(running.onAnswerFailed(ResultCode.TARGET_LOST, 10), running);
     }
 
-    private Forwarding underWay() {
+    private Forwarding startedStream() {
         Forwarding forwarding = forwarding(RequestKind.STREAMING, 2);
-        begin(forwarding);
+        startStream(forwarding);
         return forwarding;
     }
 
-    private static String begin(Forwarding forwarding) {
-        String target = sent(forwarding.start(0), forwarding);
-        forwarding.onAnswer(STREAM, 10);
-        forwarding.onEventPassed(4);
+    private static String startStream(Forwarding forwarding) {
+        String target = send(forwarding.start(0), forwarding);
+        forwarding.onAnswerHead(STREAM, 10);
+        forwarding.onEventRelayed(4);
         return target;
     }
 
-    private static String sent(Step step, Forwarding forwarding) {
+    private static String send(Step step, Forwarding forwarding) {
         assertThat(step).isInstanceOf(Step.Send.class);
         forwarding.onSending();
         return ((Step.Send) step).choice().target();
@@ -595,6 +592,6 @@
                         1000,
                         new RequestFingerprint(1, 1),
                         -1);
-        return Forwarding.of(request, mBook, mRetries, mShutdown, mSuspects);
+        return Forwarding.of(request, mTargets, mRetryBudget, mShutdown, mSuspects);
     }
 }
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/KeyLeaseTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/KeyLeaseTest.java
@@ -21,7 +21,7 @@
 
 class KeyLeaseTest {
     @Test
-    void leaseRunsFromWhenTheQuestionWasSent() {
+    void leaseStartsWhenTheConfirmationRequestIsSent() {
         KeyLease lease = KeyLease.ofMillis(3500);
         assertThat(lease.isValid(0)).isFalse();
 
@@ -30,6 +30,6 @@
 
         assertThat(lease.isValid(4499)).isTrue();
         assertThat(lease.isValid(4500)).isFalse();
-        assertThat(lease.age(1500)).isEqualTo(500);
+        assertThat(lease.ageMillis(1500)).isEqualTo(500);
     }
 }
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/LeaseClockTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/LeaseClockTest.java
@@ -21,37 +21,38 @@
 
 /** What counts as time that has passed. */
 class LeaseClockTest {
-    private static final long DAY = 1_780_000_000_000L;
+    private static final long WALL_CLOCK_START = 1_780_000_000_000L;
 
     private final LeaseClock mClock = LeaseClock.create();
 
     @Test
-    void withoutASuspensionItIsTheSteadyClock() {
-        assertThat(mClock.now(10, DAY)).isEqualTo(10);
-        assertThat(mClock.now(5010, DAY + 5000)).isEqualTo(5010);
+    void followsTheMonotonicClockWithoutSuspension() {
+        assertThat(mClock.now(10, WALL_CLOCK_START)).isEqualTo(10);
+        assertThat(mClock.now(5010, WALL_CLOCK_START + 5000)).isEqualTo(5010);
     }
 
     @Test
-    void suspensionCounts() {
-        mClock.now(10, DAY);
+    void suspensionCountsAsElapsedTime() {
+        mClock.now(10, WALL_CLOCK_START);
 
-        assertThat(mClock.now(20, DAY + 6010)).isEqualTo(6020);
-        assertThat(mClock.now(30, DAY + 6020)).isEqualTo(6030);
+        assertThat(mClock.now(20, WALL_CLOCK_START + 6010)).isEqualTo(6020);
+        assertThat(mClock.now(30, WALL_CLOCK_START + 6020)).isEqualTo(6030);
     }
 
     @Test
-    void timeOfDayThatIsSetBackTakesNothingAway() {
-        mClock.now(10, DAY);
+    void settingTheWallClockBackDoesNotReduceTime() {
+        mClock.now(10, WALL_CLOCK_START);
 
-        assertThat(mClock.now(20, DAY - 60_000)).isEqualTo(20);
-        assertThat(mClock.now(30, DAY - 59_000)).isEqualTo(1020);
+        assertThat(mClock.now(20, WALL_CLOCK_START - 60_000)).isEqualTo(20);
+        assertThat(mClock.now(30, WALL_CLOCK_START - 59_000)).isEqualTo(1020);
     }
 
     @Test
-    void clockThatIsAdjustedSlowlyIsNoSuspension() {
-        long adjusted = LeaseClock.LEAST_GAIN_MILLIS / 2;
+    void gradualClockAdjustmentIsNotASuspension() {
+        long adjustment = LeaseClock.MIN_JUMP_MILLIS / 2;
         for (int i = 0; i < 100; i++) {
-            assertThat(mClock.now(1000L * i, DAY + (1000 + adjusted) * i)).isEqualTo(1000L * i);
+            assertThat(mClock.now(1000L * i, WALL_CLOCK_START + (1000 + adjustment) * i))
+                    .isEqualTo(1000L * i);
         }
     }
 }
