--- /dev/null
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/PoisonRequestDetectorTest.java
@@ -0,0 +1,285 @@
+/*
+ * Copyright 2026 The quilldyke authors
+ *
+ * Licensed under the Apache License, Version 2.0 (the "License");
+ * you may not use this file except in compliance with the License.
+ * You may obtain a copy of the License at
+ *
+ *     http://www.apache.org/licenses/LICENSE-2.0
+ *
+ * Unless required by applicable law or agreed to in writing, software
+ * distributed under the License is distributed on an "AS IS" BASIS,
+ * WITHOUT WARRANTIES OR CONDITIONS OF ANY KIND, either express or implied.
+ * See the License for the specific language governing permissions and
+ * limitations under the License.
+ */
+package org.quilldyke.caller;
+
+import static com.google.common.truth.Truth.assertThat;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Random;
+import java.util.Set;
+import java.util.stream.Collectors;
+import org.junit.jupiter.api.Test;
+
+/** Who is found to crash targets, and who isn't. */
+class PoisonRequestDetectorTest {
+    private static final RequestFingerprint POISON = new RequestFingerprint(1, 1);
+    private static final RequestFingerprint HARMLESS = new RequestFingerprint(2, 2);
+
+    private final PoisonRequestDetector mDetector = PoisonRequestDetector.create();
+    private final Map<RequestFingerprint, Suspect> mLatest = new HashMap<>();
+
+    @Test
+    void requestIsRefusedAfterThreeCrashes() {
+        crash("a", 0, POISON);
+        crash("b", 100, POISON);
+        assertThat(isRefused(POISON)).isFalse();
+
+        crash("c", 200, POISON);
+
+        assertThat(isRefused(POISON)).isTrue();
+        assertThat(mLatest.get(POISON).targets()).containsExactly("a", "b", "c");
+        assertThat(mLatest.get(POISON).refusedUntil())
+                .isEqualTo(200 + PoisonRequestDetector.FIRST_REFUSAL_MILLIS);
+    }
+
+    @Test
+    void crashReportedBySeveralInstancesCountsOnce() {
+        crash("a", 0, POISON);
+        crash("a", 5, POISON, HARMLESS);
+        crash("a", 9, HARMLESS);
+
+        crash("b", 100, POISON);
+
+        assertThat(isRefused(POISON)).isFalse();
+    }
+
+    @Test
+    void requestRunningByChanceIsNotRefused() {
+        crash("a", 0, POISON);
+        crash("b", 100, POISON, HARMLESS);
+        crash("c", 200, POISON, HARMLESS);
+        crash("d", 300, POISON, HARMLESS);
+
+        assertThat(isRefused(POISON)).isTrue();
+        assertThat(isRefused(HARMLESS)).isFalse();
+    }
+
+    @Test
+    void refusedRequestIsClearedOnceAnotherExplainsMoreCrashes() {
+        crash("a", 0, POISON, HARMLESS);
+        crash("b", 100, POISON, HARMLESS);
+        crash("c", 200, POISON, HARMLESS);
+        assertThat(isRefused(HARMLESS)).isTrue();
+
+        crash("d", 300, POISON);
+
+        assertThat(isRefused(HARMLESS)).isFalse();
+        assertThat(isRefused(POISON)).isTrue();
+    }
+
+    @Test
+    void requestThatCompletedIsNotRefused() {
+        mDetector.onCompleted(HARMLESS, 1000);
+        crash("a", 1000 + PoisonRequestDetector.RECENT_COMPLETION_MILLIS, HARMLESS);
+        crash("b", 2000, HARMLESS);
+        crash("c", 2100, HARMLESS);
+        crash("d", 2200, HARMLESS);
+
+        assertThat(isRefused(HARMLESS)).isFalse();
+    }
+
+    @Test
+    void refusedRequestIsClearedWhenItCompletes() {
+        crash("a", 0, HARMLESS);
+        crash("b", 100, HARMLESS);
+        crash("c", 200, HARMLESS);
+        assertThat(isRefused(HARMLESS)).isTrue();
+
+        mDetector.onCompleted(HARMLESS, 300);
+        evaluate(310);
+
+        assertThat(isRefused(HARMLESS)).isFalse();
+        assertThat(mDetector.suspects()).isEmpty();
+    }
+
+    @Test
+    void completionLongAgoDoesNotClearRequest() {
+        mDetector.onCompleted(POISON, 0);
+        long now = PoisonRequestDetector.RECENT_COMPLETION_MILLIS + 1;
+        crash("a", now, POISON);
+        crash("b", now, POISON);
+        crash("c", now, POISON);
+
+        assertThat(isRefused(POISON)).isTrue();
+    }
+
+    @Test
+    void crashAfterRefusalExpiresLeadsToLongerRefusal() {
+        crash("a", 0, POISON);
+        crash("b", 0, POISON);
+        crash("c", 0, POISON);
+        crash("late", 50, POISON);
+        assertThat(mLatest.get(POISON).refusals()).isEqualTo(1);
+
+        long retriedAt = PoisonRequestDetector.FIRST_REFUSAL_MILLIS + 10;
+        crash("d", retriedAt, POISON);
+
+        Suspect second = mLatest.get(POISON);
+        assertThat(second.refusals()).isEqualTo(2);
+        assertThat(second.refusedUntil() - retriedAt)
+                .isGreaterThan(PoisonRequestDetector.FIRST_REFUSAL_MILLIS);
+    }
+
+    @Test
+    void refusalDurationIsBounded() {
+        crash("a", 0, POISON);
+        crash("b", 0, POISON);
+        crash("c", 0, POISON);
+        for (int i = 0; i < 20; i++) {
+            long retriedAt = mLatest.get(POISON).refusedUntil();
+            crash("x" + i, retriedAt, POISON);
+            assertThat(mLatest.get(POISON).refusedUntil() - retriedAt)
+                    .isAtMost(PoisonRequestDetector.MAX_REFUSAL_MILLIS);
+        }
+    }
+
+    @Test
+    void secondPoisonRequestIsFoundOnceTheFirstIsRefused() {
+        RequestFingerprint other = new RequestFingerprint(3, 3);
+        crash("a", 0, POISON, other);
+        crash("b", 0, POISON);
+        crash("c", 0, POISON, other);
+        crash("d", 0, POISON);
+        crash("e", 100, other);
+        crash("f", 200, other);
+
+        crash("g", 300, other);
+
+        assertThat(isRefused(other)).isTrue();
+        assertThat(isRefused(POISON)).isTrue();
+    }
+
+    @Test
+    void refusalByAnotherInstanceIsAccepted() {
+        Suspect received =
+                new Suspect(POISON, Suspect.Standing.REFUSED, Set.of("a", "b", "c"), 10_000, 1);
+
+        assertThat(mDetector.onSuspect(received)).isTrue();
+        assertThat(mDetector.onSuspect(received)).isFalse();
+        evaluate(0);
+
+        assertThat(isRefused(POISON)).isTrue();
+    }
+
+    @Test
+    void refusalOfCompletedRequestIsNotApplied() {
+        mDetector.onCompleted(HARMLESS, 500);
+        mDetector.onSuspect(
+                new Suspect(HARMLESS, Suspect.Standing.REFUSED, Set.of("a", "b", "c"), 10_000, 1));
+        evaluate(600);
+
+        assertThat(isRefused(HARMLESS)).isFalse();
+    }
+
+    @Test
+    void instancesWithTheSameEvidenceAgree() {
+        for (int seed = 1; seed <= 500; seed++) {
+            Random random = new Random(seed);
+            List<TargetCrash> crashes = new ArrayList<>();
+            for (int i = 0; i < 10; i++) {
+                crashes.add(new TargetCrash("t" + random.nextInt(8), requests(random), 100 * i));
+            }
+            RequestFingerprint completed = new RequestFingerprint(0, random.nextInt(5));
+            PoisonRequestDetector one = PoisonRequestDetector.create();
+            PoisonRequestDetector other = PoisonRequestDetector.create();
+            crashes.forEach(crash -> report(one, crash));
+            one.onCompleted(completed, 300);
+            one.evaluate(1000);
+            Collections.shuffle(crashes, random);
+            other.onCompleted(completed, 300);
+            crashes.forEach(crash -> report(other, crash));
+
+            one.suspects().forEach(other::onSuspect);
+            other.suspects().forEach(one::onSuspect);
+            one.evaluate(1000);
+            other.evaluate(1000);
+
+            assertThat(refused(one)).isEqualTo(refused(other));
+        }
+    }
+
+    @Test
+    void evidenceIsBounded() {
+        for (int i = 0; i < 3 * PoisonRequestDetector.MAX_CRASHES; i++) {
+            Set<RequestFingerprint> requests = new HashSet<>();
+            for (int j = 0; j < 2 * PoisonRequestDetector.MAX_REQUESTS_PER_CRASH; j++) {
+                requests.add(new RequestFingerprint(i, j));
+            }
+            mDetector.onCrash(new TargetCrash("t" + i, requests, i));
+            mDetector.onCompleted(new RequestFingerprint(i, i), i);
+        }
+
+        assertThat(mDetector.crashes()).hasSize(PoisonRequestDetector.MAX_CRASHES);
+        assertThat(mDetector.crashes().get(0).requests().size())
+                .isAtMost(PoisonRequestDetector.MAX_REQUESTS_PER_CRASH);
+        assertThat(mDetector.completions().size()).isAtMost(PoisonRequestDetector.MAX_REQUESTS);
+    }
+
+    @Test
+    void manyPoisonRequestsAreRefusedWithinBounds() {
+        for (int i = 0; i < 1200; i++) {
+            RequestFingerprint request = new RequestFingerprint(i, 0);
+            for (int j = 0; j < PoisonRequestDetector.MIN_CRASHES_TO_REFUSE; j++) {
+                mDetector.onCrash(new TargetCrash("t" + i + "-" + j, Set.of(request), i));
+            }
+            evaluate(i);
+            assertThat(isRefused(request)).isTrue();
+        }
+
+        assertThat(mDetector.suspects().size()).isAtMost(PoisonRequestDetector.MAX_REQUESTS);
+        assertThat(isRefused(new RequestFingerprint(1199, 0))).isTrue();
+        assertThat(isRefused(new RequestFingerprint(300, 0))).isTrue();
+    }
+
+    private static Set<RequestFingerprint> requests(Random random) {
+        Set<RequestFingerprint> requests = new HashSet<>();
+        for (int j = 0; j <= random.nextInt(3); j++) {
+            requests.add(new RequestFingerprint(0, random.nextInt(5)));
+        }
+        return requests;
+    }
+
+    private static void report(PoisonRequestDetector ledger, TargetCrash crash) {
+        ledger.onCrash(crash);
+        ledger.evaluate(1000);
+    }
+
+    private static Set<RequestFingerprint> refused(PoisonRequestDetector ledger) {
+        return ledger.suspects().stream()
+                .filter(suspect -> suspect.standing() == Suspect.Standing.REFUSED)
+                .map(Suspect::request)
+                .collect(Collectors.toSet());
+    }
+
+    private boolean isRefused(RequestFingerprint request) {
+        Suspect suspect = mLatest.get(request);
+        return suspect != null && suspect.standing() == Suspect.Standing.REFUSED;
+    }
+
+    private void crash(String target, long at, RequestFingerprint... requests) {
+        mDetector.onCrash(new TargetCrash(target, Set.of(requests), at));
+        evaluate(at);
+    }
+
+    private void evaluate(long now) {
+        mDetector.evaluate(now).forEach(suspect -> mLatest.put(suspect.request(), suspect));
+    }
+}
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/RequestFingerprintTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/RequestFingerprintTest.java
@@ -25,19 +25,19 @@
 /** What makes two requests the same. */
 class RequestFingerprintTest {
     @Test
-    void sameCallerPathAndBodyAreTheSameRequest() {
+    void sameCallerPathAndBodyGiveTheSameFingerprint() {
         assertThat(of("o", "/p", "body")).isEqualTo(of("o", "/p", "body"));
     }
 
     @Test
-    void anotherCallerPathOrBodyIsAnotherRequest() {
+    void differentCallerPathOrBodyGivesAnotherFingerprint() {
         assertThat(Set.of(of("o", "/p", "b"), of("o2", "/p", "b"), of("o", "/p?q", "b")))
                 .containsNoneOf(of("o", "/p", "b2"), of("", "/p", "b"));
         assertThat(of("ab", "c", "")).isNotEqualTo(of("a", "bc", ""));
     }
 
     @Test
-    void bodyIsLeftUnread() {
+    void bodyPositionIsUnchanged() {
         ByteBuffer body = ByteBuffer.wrap(new byte[] {1, 2});
         RequestFingerprint.of("o", "POST", "h", "/p", body);
         assertThat(body.remaining()).isEqualTo(2);
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/RetryBudgetTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/RetryBudgetTest.java
@@ -21,12 +21,12 @@
 
 class RetryBudgetTest {
     @Test
-    void retriesAreAShareOfRequests() {
+    void retriesAreLimitedToAFractionOfRequests() {
         RetryBudget budget = RetryBudget.create(0.1, 5);
         int retries = 0;
         for (int i = 0; i < 1000; i++) {
             budget.onRequest();
-            retries += budget.tryRetry() ? 1 : 0;
+            retries += budget.tryAcquire() ? 1 : 0;
         }
 
         assertThat(retries).isAtMost(106);
@@ -34,26 +34,26 @@
     }
 
     @Test
-    void quietTimeEarnsNoMoreThanTheLimit() {
+    void tokensAccumulateUpToTheMaximum() {
         RetryBudget budget = RetryBudget.create(0.5, 3);
         for (int i = 0; i < 100; i++) {
             budget.onRequest();
         }
 
-        assertThat(budget.tryRetry()).isTrue();
-        assertThat(budget.tryRetry()).isTrue();
-        assertThat(budget.tryRetry()).isTrue();
-        assertThat(budget.tryRetry()).isFalse();
+        assertThat(budget.tryAcquire()).isTrue();
+        assertThat(budget.tryAcquire()).isTrue();
+        assertThat(budget.tryAcquire()).isTrue();
+        assertThat(budget.tryAcquire()).isFalse();
     }
 
     @Test
-    void whatIsGivenBackIsNoMoreThanTheLimit() {
+    void releasedTokensDoNotExceedTheMaximum() {
         RetryBudget budget = RetryBudget.create(0.5, 1);
-        budget.giveBack();
+        budget.release();
 
-        assertThat(budget.tryRetry()).isTrue();
-        assertThat(budget.tryRetry()).isFalse();
-        budget.giveBack();
-        assertThat(budget.tryRetry()).isTrue();
+        assertThat(budget.tryAcquire()).isTrue();
+        assertThat(budget.tryAcquire()).isFalse();
+        budget.release();
+        assertThat(budget.tryAcquire()).isTrue();
     }
 }
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/RetryAllowanceTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/ServiceRetryBudgetTest.java
@@ -20,67 +20,67 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-class RetryAllowanceTest {
+class ServiceRetryBudgetTest {
     @Test
-    void fixedPartIsDividedAmongTheInstances() {
-        RetryAllowance allowance = RetryAllowance.create(0, 60, 10_000, 1);
-        allowance.onInstances(10);
+    void fixedRetriesAreDividedAmongTheInstances() {
+        ServiceRetryBudget budget = ServiceRetryBudget.create(0, 60, 10_000, 1);
+        budget.onInstanceCount(10);
 
         int taken = 0;
-        while (allowance.tryTake("s", 0)) {
+        while (budget.tryAcquire("s", 0)) {
             taken++;
         }
 
         assertThat(taken).isAtMost(6);
         assertThat(taken).isAtLeast(4);
-        assertThat(allowance.tryTake("other", 0)).isTrue();
+        assertThat(budget.tryAcquire("other", 0)).isTrue();
     }
 
     @Test
-    void requestsBringAShareAndTimeBringsItBack() {
-        RetryAllowance allowance = RetryAllowance.create(0.2, 0, 10_000, 1);
+    void requestsAddRetriesAndTheWindowRestoresThem() {
+        ServiceRetryBudget budget = ServiceRetryBudget.create(0.2, 0, 10_000, 1);
         for (int i = 0; i < 100; i++) {
-            allowance.onRequest("s", 0);
+            budget.onRequest("s", 0);
         }
         int taken = 0;
-        while (allowance.tryTake("s", 1)) {
+        while (budget.tryAcquire("s", 1)) {
             taken++;
         }
         assertThat(taken).isAtMost(20);
         assertThat(taken).isAtLeast(15);
-        assertThat(allowance.tryTake("s", 5000)).isFalse();
+        assertThat(budget.tryAcquire("s", 5000)).isFalse();
         for (int i = 0; i < 100; i++) {
-            allowance.onRequest("s", 12_000);
+            budget.onRequest("s", 12_000);
         }
-        assertThat(allowance.tryTake("s", 12_000)).isTrue();
+        assertThat(budget.tryAcquire("s", 12_000)).isTrue();
     }
 
     /** In no window, however it lies, is more taken than the rule allows. */
     @Test
-    void noSlidingWindowHoldsMoreThanAllowed() {
+    void noSlidingWindowExceedsTheBudget() {
         Random random = new Random(7);
-        RetryAllowance allowance = RetryAllowance.create(0.2, 10, 10_000, 1);
+        ServiceRetryBudget budget = ServiceRetryBudget.create(0.2, 10, 10_000, 1);
         int[] requests = new int[60_000];
         int[] retries = new int[60_000];
         for (int now = 0; now < 60_000; now++) {
             if (random.nextInt(40) == 0) {
-                allowance.onRequest("s", now);
+                budget.onRequest("s", now);
                 requests[now]++;
             }
-            if (random.nextInt(10) == 0 && allowance.tryTake("s", now)) {
+            if (random.nextInt(10) == 0 && budget.tryAcquire("s", now)) {
                 retries[now]++;
             }
         }
         for (int end = 20_000; end < 60_000; end += 97) {
             int taken = 0;
-            int here = 0;
-            int before = 0;
+            int inWindow = 0;
+            int inPreviousWindow = 0;
             for (int i = end - 10_000; i < end; i++) {
                 taken += retries[i];
-                here += requests[i];
-                before += requests[i - 10_000];
+                inWindow += requests[i];
+                inPreviousWindow += requests[i - 10_000];
             }
-            assertThat((double) taken).isAtMost(0.2 * Math.max(here, before) + 10);
+            assertThat((double) taken).isAtMost(0.2 * Math.max(inWindow, inPreviousWindow) + 10);
         }
     }
 }
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/ShutdownAdmissionTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/ShutdownAdmissionTest.java
@@ -29,51 +29,51 @@
  * event, an event lasts 37 to 70 ms, and the shutdown 7.8 s.
  */
 class ShutdownAdmissionTest {
-    private static final long ENDS_AT = 7800;
-    private static final int LONG_STREAM = 955;
-    private static final int SHORT_STREAM = 205;
-    private static final int EVENT_TOKENS = 5;
-    private static final int ENOUGH = 40;
+    private static final long DEADLINE = 7800;
+    private static final int LONG_STREAM_TOKENS = 955;
+    private static final int SHORT_STREAM_TOKENS = 205;
+    private static final int TOKENS_PER_EVENT = 5;
+    private static final int ENOUGH_RUNS = 40;
 
     private final ShutdownAdmission mAdmission = ShutdownAdmission.create();
 
     @Test
-    void runningInstanceTakesEverything() {
+    void runningInstanceAdmitsEverything() {
         assertThat(mAdmission.isShuttingDown()).isFalse();
-        assertThat(mAdmission.admits(stream(LONG_STREAM, 60_000), 50, 0)).isTrue();
+        assertThat(mAdmission.admits(stream(LONG_STREAM_TOKENS, 60_000), 50, 0)).isTrue();
         assertThat(mAdmission.admits(plain(60_000), 50, 0)).isTrue();
     }
 
     @Test
-    void streamThatMayOutlastTheInstanceIsRefusedAndItsCallerComesBackAtOnce() {
-        see(ENOUGH, LONG_STREAM, 1700);
-        see(1, LONG_STREAM, 5200);
-        mAdmission.onShutdown(ENDS_AT);
+    void streamThatMayOutlastTheInstanceIsRefusedForImmediateRetry() {
+        completeStreams(ENOUGH_RUNS, LONG_STREAM_TOKENS, 1700);
+        completeStreams(1, LONG_STREAM_TOKENS, 5200);
+        mAdmission.onShutdown(DEADLINE);
 
-        assertThat(mAdmission.admits(stream(LONG_STREAM, 15_715), 49, 715)).isFalse();
+        assertThat(mAdmission.admits(stream(LONG_STREAM_TOKENS, 15_715), 49, 715)).isFalse();
         Step.Refuse refusal = mAdmission.refusal(715);
         assertThat(refusal.code()).isEqualTo(ResultCode.SHUTTING_DOWN);
         assertThat(refusal.retryAfterMillis()).isEqualTo(1);
     }
 
     @Test
-    void streamThatEndsInTimeAtTheSlowestPaceIsTaken() {
-        see(ENOUGH, SHORT_STREAM, 500);
-        see(1, SHORT_STREAM, 2870);
-        mAdmission.onShutdown(ENDS_AT);
+    void streamThatEndsInTimeAtTheSlowestPaceIsAdmitted() {
+        completeStreams(ENOUGH_RUNS, SHORT_STREAM_TOKENS, 500);
+        completeStreams(1, SHORT_STREAM_TOKENS, 2870);
+        mAdmission.onShutdown(DEADLINE);
 
-        assertThat(mAdmission.admits(stream(SHORT_STREAM, 12_600), 250, 2600)).isTrue();
-        assertThat(mAdmission.admits(stream(SHORT_STREAM, 12_600), 250, 4000)).isFalse();
+        assertThat(mAdmission.admits(stream(SHORT_STREAM_TOKENS, 12_600), 250, 2600)).isTrue();
+        assertThat(mAdmission.admits(stream(SHORT_STREAM_TOKENS, 12_600), 250, 4000)).isFalse();
     }
 
     /** Short runs say what a stream of the same size lasts, and nothing of larger ones. */
     @Test
-    void shortRunsDontLetLongStreamsIn() {
-        see(ENOUGH, SHORT_STREAM, 1600);
-        mAdmission.onShutdown(ENDS_AT);
+    void shortRunsDontAdmitLongStreams() {
+        completeStreams(ENOUGH_RUNS, SHORT_STREAM_TOKENS, 1600);
+        mAdmission.onShutdown(DEADLINE);
 
-        assertThat(mAdmission.admits(stream(SHORT_STREAM, 15_000), 20, 2000)).isTrue();
-        assertThat(mAdmission.admits(stream(LONG_STREAM, 15_000), 20, 0)).isFalse();
+        assertThat(mAdmission.admits(stream(SHORT_STREAM_TOKENS, 15_000), 20, 2000)).isTrue();
+        assertThat(mAdmission.admits(stream(LONG_STREAM_TOKENS, 15_000), 20, 0)).isFalse();
     }
 
     /**
@@ -87,146 +87,155 @@
      * forecast; whole ones lasted up to 10.1 s.
      */
     @Test
-    void shortAnswersDontLetInOneThatMayUseItsWholeAllowance() {
-        seeParts(ENOUGH, LONG_STREAM, LONG_STREAM / 50, 700);
-        mAdmission.onShutdown(ENDS_AT);
+    void shortAnswersDontAdmitStreamThatMayUseAllItsTokens() {
+        completeShorterStreams(ENOUGH_RUNS, LONG_STREAM_TOKENS, LONG_STREAM_TOKENS / 50, 700);
+        mAdmission.onShutdown(DEADLINE);
 
-        assertThat(mAdmission.admits(stream(LONG_STREAM, 15_000), 20, 1200)).isFalse();
+        assertThat(mAdmission.admits(stream(LONG_STREAM_TOKENS, 15_000), 20, 1200)).isFalse();
     }
 
     /** Nor do some that use half of it tell how many events the whole of it makes. */
     @Test
-    void answersThatUseAHalfDontTellTheTokensOfAnEvent() {
-        seeParts(ENOUGH, LONG_STREAM, 95, 1000);
-        see(1, LONG_STREAM, 2000);
-        mAdmission.onShutdown(ENDS_AT);
-        assertThat(mAdmission.likelyEvents(stream(LONG_STREAM, 15_000), LONG_STREAM).getAsInt())
-                .isEqualTo(LONG_STREAM);
-
-        see(1, LONG_STREAM, 2000);
-        assertThat(mAdmission.likelyEvents(stream(LONG_STREAM, 15_000), LONG_STREAM).getAsInt())
+    void answersOfHalfTheLimitDontRevealTokensPerEvent() {
+        completeShorterStreams(ENOUGH_RUNS, LONG_STREAM_TOKENS, 95, 1000);
+        completeStreams(1, LONG_STREAM_TOKENS, 2000);
+        mAdmission.onShutdown(DEADLINE);
+        assertThat(
+                        mAdmission
+                                .likelyEvents(
+                                        stream(LONG_STREAM_TOKENS, 15_000), LONG_STREAM_TOKENS)
+                                .getAsInt())
+                .isEqualTo(LONG_STREAM_TOKENS);
+
+        completeStreams(1, LONG_STREAM_TOKENS, 2000);
+        assertThat(
+                        mAdmission
+                                .likelyEvents(
+                                        stream(LONG_STREAM_TOKENS, 15_000), LONG_STREAM_TOKENS)
+                                .getAsInt())
                 .isEqualTo(191);
     }
 
     /** Most of what is asked for during a shutdown is short: it is still served. */
     @Test
-    void shortStreamsAreTakenBesideLongOnes() {
-        seeParts(ENOUGH, LONG_STREAM, LONG_STREAM / 50, 700);
-        see(3, LONG_STREAM, 7000);
-        mAdmission.onShutdown(ENDS_AT);
+    void shortStreamsAreAdmittedWhileLongOnesAreRefused() {
+        completeShorterStreams(ENOUGH_RUNS, LONG_STREAM_TOKENS, LONG_STREAM_TOKENS / 50, 700);
+        completeStreams(3, LONG_STREAM_TOKENS, 7000);
+        mAdmission.onShutdown(DEADLINE);
 
-        assertThat(mAdmission.admits(stream(SHORT_STREAM, 15_000), 250, 2600)).isTrue();
-        assertThat(mAdmission.admits(stream(LONG_STREAM, 15_000), 250, 0)).isFalse();
+        assertThat(mAdmission.admits(stream(SHORT_STREAM_TOKENS, 15_000), 250, 2600)).isTrue();
+        assertThat(mAdmission.admits(stream(LONG_STREAM_TOKENS, 15_000), 250, 0)).isFalse();
     }
 
     /** A stream of two events with a pause between them said that all streams are as slow. */
     @Test
-    void pauseInAShortAnswerIsNotTakenForThePaceOfLongOnes() {
-        see(ENOUGH, SHORT_STREAM, 900);
-        seeParts(1, SHORT_STREAM, 2, 400);
-        mAdmission.onShutdown(ENDS_AT);
+    void pauseInShortAnswerDoesNotSetThePaceOfLongOnes() {
+        completeStreams(ENOUGH_RUNS, SHORT_STREAM_TOKENS, 900);
+        completeShorterStreams(1, SHORT_STREAM_TOKENS, 2, 400);
+        mAdmission.onShutdown(DEADLINE);
 
-        assertThat(mAdmission.admits(stream(SHORT_STREAM, 15_000), 20, 2000)).isTrue();
+        assertThat(mAdmission.admits(stream(SHORT_STREAM_TOKENS, 15_000), 20, 2000)).isTrue();
     }
 
     /** A whole answer on a route of streams was over at once, and so were forty streams. */
     @Test
-    void answersWithoutEventsTeachNothing() {
-        seeParts(ENOUGH, SHORT_STREAM, 0, 10);
-        mAdmission.onShutdown(ENDS_AT);
+    void answersWithoutEventsAreIgnored() {
+        completeShorterStreams(ENOUGH_RUNS, SHORT_STREAM_TOKENS, 0, 10);
+        mAdmission.onShutdown(DEADLINE);
 
-        assertThat(mAdmission.admits(stream(SHORT_STREAM, 15_000), 20, 0)).isFalse();
+        assertThat(mAdmission.admits(stream(SHORT_STREAM_TOKENS, 15_000), 20, 0)).isFalse();
     }
 
     @Test
-    void partThatWasSlowerThanAllWholeOnesCounts() {
-        see(ENOUGH, SHORT_STREAM, 900);
-        mAdmission.onBrokenOff(stream(SHORT_STREAM, 15_000), 20, 4000);
-        mAdmission.onShutdown(ENDS_AT);
+    void interruptedStreamSlowerThanAllCompletedOnesCounts() {
+        completeStreams(ENOUGH_RUNS, SHORT_STREAM_TOKENS, 900);
+        mAdmission.onInterrupted(stream(SHORT_STREAM_TOKENS, 15_000), 20, 4000);
+        mAdmission.onShutdown(DEADLINE);
 
-        assertThat(mAdmission.admits(stream(SHORT_STREAM, 15_000), 20, 0)).isFalse();
+        assertThat(mAdmission.admits(stream(SHORT_STREAM_TOKENS, 15_000), 20, 0)).isFalse();
     }
 
     @Test
-    void fewRunsTeachNothing() {
-        see(ENOUGH - 1, SHORT_STREAM, 10);
-        mAdmission.onShutdown(ENDS_AT);
-        assertThat(mAdmission.admits(stream(SHORT_STREAM, 15_000), 20, 0)).isFalse();
+    void tooFewRunsAreIgnored() {
+        completeStreams(ENOUGH_RUNS - 1, SHORT_STREAM_TOKENS, 10);
+        mAdmission.onShutdown(DEADLINE);
+        assertThat(mAdmission.admits(stream(SHORT_STREAM_TOKENS, 15_000), 20, 0)).isFalse();
 
-        see(1, SHORT_STREAM, 10);
-        assertThat(mAdmission.admits(stream(SHORT_STREAM, 15_000), 20, 0)).isTrue();
+        completeStreams(1, SHORT_STREAM_TOKENS, 10);
+        assertThat(mAdmission.admits(stream(SHORT_STREAM_TOKENS, 15_000), 20, 0)).isTrue();
     }
 
     /** Each was taken for a whole one, and taught that whole ones are short. */
     @Test
-    void streamsThatGoOnAfterAnEventTeachNothingShort() {
-        for (int i = 0; i < ENOUGH; i++) {
-            mAdmission.onEnded(resumed(LONG_STREAM), 3, 20);
+    void resumedStreamsDontShortenTheBound() {
+        for (int i = 0; i < ENOUGH_RUNS; i++) {
+            mAdmission.onCompleted(resumed(LONG_STREAM_TOKENS), 3, 20);
         }
-        mAdmission.onShutdown(ENDS_AT);
+        mAdmission.onShutdown(DEADLINE);
 
-        assertThat(mAdmission.admits(stream(LONG_STREAM, 15_000), 20, 2000)).isFalse();
+        assertThat(mAdmission.admits(stream(LONG_STREAM_TOKENS, 15_000), 20, 2000)).isFalse();
     }
 
     @Test
-    void slowRunIsForgottenWithTheLastOnesBesideIt() {
-        see(1, SHORT_STREAM, 9000);
-        see(255, SHORT_STREAM, 100);
-        mAdmission.onShutdown(ENDS_AT);
-        assertThat(mAdmission.admits(stream(SHORT_STREAM, 15_000), 20, 0)).isFalse();
-
-        see(1, SHORT_STREAM, 100);
-        assertThat(mAdmission.admits(stream(SHORT_STREAM, 15_000), 20, 0)).isTrue();
+    void slowRunIsDroppedOnceOutsideTheSampleWindow() {
+        completeStreams(1, SHORT_STREAM_TOKENS, 9000);
+        completeStreams(255, SHORT_STREAM_TOKENS, 100);
+        mAdmission.onShutdown(DEADLINE);
+        assertThat(mAdmission.admits(stream(SHORT_STREAM_TOKENS, 15_000), 20, 0)).isFalse();
+
+        completeStreams(1, SHORT_STREAM_TOKENS, 100);
+        assertThat(mAdmission.admits(stream(SHORT_STREAM_TOKENS, 15_000), 20, 0)).isTrue();
     }
 
     @Test
-    void requestWhoseOwnTimeEndsBeforeIsTaken() {
-        mAdmission.onShutdown(ENDS_AT);
+    void requestWithEarlierDeadlineIsAdmitted() {
+        mAdmission.onShutdown(DEADLINE);
 
-        assertThat(mAdmission.admits(stream(LONG_STREAM, ENDS_AT), 50, 2600)).isTrue();
+        assertThat(mAdmission.admits(stream(LONG_STREAM_TOKENS, DEADLINE), 50, 2600)).isTrue();
         assertThat(mAdmission.admits(plain(3200), 5, 2600)).isTrue();
-        assertThat(mAdmission.admits(plain(ENDS_AT + 1), 5, 2600)).isFalse();
+        assertThat(mAdmission.admits(plain(DEADLINE + 1), 5, 2600)).isFalse();
     }
 
     @Test
-    void quickRequestWithALongTimeoutIsTakenOnceItIsKnownToBeQuick() {
-        for (int i = 0; i < ENOUGH; i++) {
-            mAdmission.onEnded(plain(15_000), 0, 20);
+    void fastRequestWithLongTimeoutIsAdmittedOnceKnownToBeFast() {
+        for (int i = 0; i < ENOUGH_RUNS; i++) {
+            mAdmission.onCompleted(plain(15_000), 0, 20);
         }
-        mAdmission.onShutdown(ENDS_AT);
+        mAdmission.onShutdown(DEADLINE);
 
         assertThat(mAdmission.admits(plain(17_600), 5, 2600)).isTrue();
-        assertThat(mAdmission.admits(plain(17_600), 5, ENDS_AT - 30)).isFalse();
+        assertThat(mAdmission.admits(plain(17_600), 5, DEADLINE - 30)).isFalse();
     }
 
     /** Has streams end that used all that they might. */
-    private void see(int runs, int maxTokens, long millis) {
-        seeParts(runs, maxTokens, maxTokens / EVENT_TOKENS, millis);
+    private void completeStreams(int runs, int maxTokens, long millis) {
+        completeShorterStreams(runs, maxTokens, maxTokens / TOKENS_PER_EVENT, millis);
     }
 
-    private void seeParts(int runs, int maxTokens, int events, long millis) {
+    private void completeShorterStreams(int runs, int maxTokens, int events, long millis) {
         for (int i = 0; i < runs; i++) {
-            mAdmission.onEnded(stream(maxTokens, 15_000), events, millis);
+            mAdmission.onCompleted(stream(maxTokens, 15_000), events, millis);
         }
     }
 
-    private static ForwardRequest stream(int maxTokens, long answerBy) {
-        return request(Optional.of(new Prompt("m", 800, maxTokens, List.of())), answerBy);
+    private static ForwardRequest stream(int maxTokens, long deadline) {
+        return request(Optional.of(new Prompt("m", 800, maxTokens, List.of())), deadline);
     }
 
     private static ForwardRequest resumed(int maxTokens) {
         return request(Optional.of(new Prompt("m", 800, maxTokens, List.of())), 15_000, 3);
     }
 
-    private static ForwardRequest plain(long answerBy) {
-        return request(Optional.empty(), answerBy);
+    private static ForwardRequest plain(long deadline) {
+        return request(Optional.empty(), deadline);
     }
 
-    private static ForwardRequest request(Optional<Prompt> prompt, long answerBy) {
-        return request(prompt, answerBy, -1);
+    private static ForwardRequest request(Optional<Prompt> prompt, long deadline) {
+        return request(prompt, deadline, -1);
     }
 
-    private static ForwardRequest request(Optional<Prompt> prompt, long answerBy, long lastEvent) {
+    private static ForwardRequest request(
+            Optional<Prompt> prompt, long deadline, long resumeAfterEvent) {
         Route route =
                 new Route(
                         "r",
@@ -251,8 +260,8 @@
                 prompt,
                 0,
                 0,
-                answerBy,
+                deadline,
                 new RequestFingerprint(1, 1),
-                lastEvent);
+                resumeAfterEvent);
     }
 }
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/StartUpWaitTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/StartUpWaitTest.java
@@ -22,13 +22,13 @@
 /** After all processes were killed, a window of two seconds held refusals only. */
 final class StartUpWaitTest {
     @Test
-    void waitsForAQuarterOfItsTime() {
+    void waitsForAQuarterOfItsRemainingTime() {
         assertThat(StartUpWait.mayWait(1000, 600, 1149)).isTrue();
         assertThat(StartUpWait.mayWait(1000, 600, 1150)).isFalse();
     }
 
     @Test
-    void waitsNoLongerThanAStartTakes() {
+    void waitIsBounded() {
         assertThat(StartUpWait.mayWait(1000, 60_000, 1699)).isTrue();
         assertThat(StartUpWait.mayWait(1000, 60_000, 1700)).isFalse();
     }
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/StreamCursorTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/StreamCursorTest.java
@@ -26,7 +26,7 @@
     private final StreamCursor mCursor = StreamCursor.create("r1");
 
     @Test
-    void chunksPassOnceAndInOrder() throws QuilldykeException {
+    void chunksAreAcceptedOnceAndInOrder() throws QuilldykeException {
         mCursor.startAttempt();
 
         assertThat(mCursor.accept(new ChunkId("r1", 1, 0))).isEqualTo(Verdict.NEXT);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void otherRequestsAndFormerAttemptsAreCrossed() throws QuilldykeException {
+    void chunksOfOtherRequestsAndEarlierAttemptsAreCrossed() throws QuilldykeException {
         mCursor.startAttempt();
         mCursor.accept(new ChunkId("r1", 1, 0));
         mCursor.startAttempt();
@@ -48,22 +48,22 @@
     }
 
     @Test
-    void goesBackToAnEarlierAttemptAndNumbersTheNextOneAnew() throws QuilldykeException {
+    void nextAttemptGetsANewNumberAfterReturningToAnEarlierOne() throws QuilldykeException {
         mCursor.startAttempt();
         mCursor.accept(new ChunkId("r1", 1, 0));
         mCursor.startAttempt();
 
-        mCursor.returnTo(1);
+        mCursor.returnToAttempt(1);
 
         assertThat(mCursor.accept(new ChunkId("r1", 2, 1))).isEqualTo(Verdict.CROSSED);
         assertThat(mCursor.accept(new ChunkId("r1", 1, 1))).isEqualTo(Verdict.NEXT);
         assertThat(mCursor.attempt()).isEqualTo(1);
-        assertThat(mCursor.attempts()).isEqualTo(2);
+        assertThat(mCursor.attemptsStarted()).isEqualTo(2);
         assertThat(mCursor.startAttempt()).isEqualTo(3);
     }
 
     @Test
-    void nothingFollowsTheEnd() throws QuilldykeException {
+    void chunkAfterTheEndIsRejected() throws QuilldykeException {
         mCursor.startAttempt();
         mCursor.accept(new ChunkId("r1", 1, 0));
         mCursor.finish();
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void idIsPrintedAndParsed() {
+    void idIsFormattedAndParsed() {
         ChunkId id = new ChunkId("entry-1/x-7", 3, 41);
 
         assertThat(ChunkId.parse(id.format())).isEqualTo(id);
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/StreamForecastTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/StreamForecastTest.java
@@ -23,37 +23,37 @@
 
 /** When a stream with up to 211 events leaves an engine, by an instance that ends at 7.8 s. */
 class StreamForecastTest {
-    private static final long ENDS_AT = 7800;
-    private static final int FIRST_MILLIS = 200;
+    private static final long DEADLINE = 7800;
+    private static final int FIRST_EVENT_MILLIS = 200;
 
     @Test
     void streamThatEndsInTimeStays() {
         StreamForecast forecast = StreamForecast.of(100, 60);
 
-        assertThat(forecast.restMillis()).isEqualTo(6000.0);
-        assertThat(forecast.mustGoOn(other(10), ENDS_AT, 1800)).isFalse();
+        assertThat(forecast.maxRemainingMillis()).isEqualTo(6000.0);
+        assertThat(forecast.mustMove(other(10), DEADLINE, 1800)).isFalse();
     }
 
     /** Most end long before they might: to move each at once would read many prompts twice. */
     @Test
-    void streamStaysAsLongAsLaterIsEarlyEnough() {
-        StreamForecast atFirst = StreamForecast.of(184, 58);
-        assertThat(atFirst.mustGoOn(other(25), ENDS_AT, 0)).isFalse();
+    void streamStaysAsLongAsItMayBeMovedLater() {
+        StreamForecast initial = StreamForecast.of(184, 58);
+        assertThat(initial.mustMove(other(25), DEADLINE, 0)).isFalse();
 
         StreamForecast later = StreamForecast.of(184 - 3000 / 58, 58);
-        assertThat(later.mustGoOn(other(25), ENDS_AT, 3000)).isTrue();
+        assertThat(later.mustMove(other(25), DEADLINE, 3000)).isTrue();
     }
 
     /** Whatever the pace there, a check every 100 ms finds a moment with time to spare. */
     @Test
-    void streamIsMovedWhileTheOtherTargetStillEndsItInTime() {
-        for (int there = 10; there <= 30; there++) {
+    void streamIsMovedWhileTheOtherTargetCanCompleteItInTime() {
+        for (int otherPace = 10; otherPace <= 30; otherPace++) {
             long now = 0;
-            while (!forecastAt(now).mustGoOn(other(there), ENDS_AT, now)) {
+            while (!forecastAt(now).mustMove(other(otherPace), DEADLINE, now)) {
                 now += 100;
             }
-            double end = now + other(there).restMillis(forecastAt(now).eventsLeft());
-            assertThat(end).isAtMost(ENDS_AT - StreamForecast.SPARE_MILLIS + 100.0);
+            double end = now + other(otherPace).restMillis(forecastAt(now).eventsLeft());
+            assertThat(end).isAtMost(DEADLINE - StreamForecast.HANDOVER_MARGIN_MILLIS + 100.0);
         }
     }
 
@@ -62,49 +62,49 @@
      * that their own time would end before all that, which it doesn't at the quick engine.
      */
     @Test
-    void slowStreamsEndInTimeBesideAQuickEngine() {
+    void slowStreamsEndInTimeGivenAFastEngine() {
         int[][] paceAndAge = {{41, 181}, {50, 163}, {58, 1569}, {67, 156}, {95, 1845}, {104, 320}};
         for (int[] stream : paceAndAge) {
-            for (int there = 20; there <= 32; there++) {
-                assertThat(endOf(stream[0], stream[1], there)).isAtMost((double) ENDS_AT);
+            for (int otherPace = 20; otherPace <= 32; otherPace++) {
+                assertThat(endOf(stream[0], stream[1], otherPace)).isAtMost((double) DEADLINE);
             }
         }
     }
 
     /** Returns when a stream of 211 events ends that is looked at each 100 ms from the signal. */
-    private static double endOf(int pace, int age, int paceThere) {
-        for (long now = 0; now < ENDS_AT; now += 100) {
+    private static double endOf(int pace, int age, int otherPace) {
+        for (long now = 0; now < DEADLINE; now += 100) {
             int left = (int) (211 - (now + age) / pace);
-            if (StreamForecast.of(left, pace).mustGoOn(other(paceThere), ENDS_AT, now)) {
-                return now + other(paceThere).restMillis(left);
+            if (StreamForecast.of(left, pace).mustMove(other(otherPace), DEADLINE, now)) {
+                return now + other(otherPace).restMillis(left);
             }
         }
         return 211.0 * pace - age;
     }
 
     @Test
-    void whereNobodyEndsInTimeOnlyAClearlyQuickerTargetIsTaken() {
+    void streamThatCannotEndInTimeMovesOnlyToAClearlyFasterTarget() {
         StreamForecast forecast = StreamForecast.of(200, 100);
 
-        assertThat(forecast.mustGoOn(other(50), ENDS_AT, 0)).isTrue();
-        assertThat(forecast.mustGoOn(other(80), ENDS_AT, 0)).isFalse();
+        assertThat(forecast.mustMove(other(50), DEADLINE, 0)).isTrue();
+        assertThat(forecast.mustMove(other(80), DEADLINE, 0)).isFalse();
     }
 
     /** The prompt is read again there: that takes longer than the last events here. */
     @Test
-    void lastEventsAreWaitedFor() {
+    void streamStaysForItsLastEvents() {
         StreamForecast forecast = StreamForecast.of(2, 100);
 
-        assertThat(forecast.mustGoOn(other(10), ENDS_AT, 7700)).isFalse();
+        assertThat(forecast.mustMove(other(10), DEADLINE, 7700)).isFalse();
     }
 
     @Test
-    void streamOfUnknownLengthMayLastUntilItsOwnTimeIsOver() {
-        StreamForecast forecast = StreamForecast.untilTimeOver(3000, 50);
+    void streamOfUnknownLengthMayLastUntilItsDeadline() {
+        StreamForecast forecast = StreamForecast.untilDeadline(3000, 50);
 
         assertThat(forecast.eventsLeft()).isEqualTo(60);
-        assertThat(forecast.mustGoOn(other(10), ENDS_AT, 4700)).isFalse();
-        assertThat(forecast.mustGoOn(other(10), ENDS_AT, 6700)).isTrue();
+        assertThat(forecast.mustMove(other(10), DEADLINE, 4700)).isFalse();
+        assertThat(forecast.mustMove(other(10), DEADLINE, 6700)).isTrue();
     }
 
     private static StreamForecast forecastAt(long now) {
@@ -113,6 +113,7 @@
 
     private static PacedChoice other(double paceMillis) {
         return new PacedChoice(
-                new Choice("b", "b:1", 1, "", 0, 0, 0, "", "", 0, FIRST_MILLIS, "", 0), paceMillis);
+                new Choice("b", "b:1", 1, "", 0, 0, 0, "", "", 0, FIRST_EVENT_MILLIS, "", 0),
+                paceMillis);
     }
 }
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/SuccessorTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/SuccessorTest.java
@@ -33,11 +33,11 @@
 /** What may be asked beside a run, and what becomes of both. */
 class SuccessorTest {
     private static final AnswerHead STREAM = new AnswerHead(200, false, false, true, true);
-    private static final AnswerHead SHED = new AnswerHead(503, true, false, false, false);
-    private static final int MILLIS = 15_000;
+    private static final AnswerHead REFUSED = new AnswerHead(503, true, false, false, false);
+    private static final int TIMEOUT_MILLIS = 15_000;
 
-    private final TargetBook mBook = TargetBook.create("z", 7500, new SplittableRandom(1));
-    private final RetryAllowance mRetries = RetryAllowance.create(0, 1000, 100_000, 1);
+    private final TargetBook mTargets = TargetBook.create("z", 7500, new SplittableRandom(1));
+    private final ServiceRetryBudget mRetryBudget = ServiceRetryBudget.create(0, 1000, 100_000, 1);
 
     @BeforeEach
     void addTargets() {
@@ -49,103 +49,103 @@
      * connection failed, and the request with it, though its successor was at work.
      */
     @Test
-    void requestThatReachedNobodyIsNotFailedBesideItsSuccessor() {
+    void failedConnectionDoesNotFailRequestWithPendingSuccessor() {
         Forwarding forwarding = forwarding(RequestKind.IDEMPOTENT, 2);
         forwarding.start(0);
 
-        forwarding.onSilence(10).ifPresent(asked -> forwarding.onSuccessorSending());
+        forwarding.onTargetUnresponsive(10).ifPresent(asked -> forwarding.onSuccessorSending());
 
-        assertThat(forwarding.onUnsent(300)).isInstanceOf(Step.Send.class);
+        assertThat(forwarding.onUnreachable(300)).isInstanceOf(Step.Send.class);
     }
 
     /** A stream that goes on at its second target, which hasn't begun, was sent to a third. */
     @Test
-    void runThatHasNotBegunCountsWhereItsTargetWaitsToLoad() {
+    void runThatHasNotStartedCountsWhenItsTargetWaitsToLoad() {
         add("c");
         Forwarding forwarding = forwarding(RequestKind.STREAMING, 2);
-        begin(forwarding);
-        sent(forwarding.onBroken(ResultCode.TARGET_LOST, 50), forwarding);
+        startStream(forwarding);
+        send(forwarding.onAnswerFailed(ResultCode.TARGET_LOST, 50), forwarding);
 
-        assertThat(forwarding.onTargetWaits(60)).isEqualTo(Optional.empty());
+        assertThat(forwarding.onLoadPending(60)).isEqualTo(Optional.empty());
     }
 
     /** The control group's word came while the connection was tried: nothing had run. */
     @Test
-    void requestThatIsNotSentGoesElsewhereAtTheWordOfControl() {
+    void unsentRequestGoesToAnotherTargetWhenControlReportsTheLoss() {
         Forwarding forwarding = forwarding(RequestKind.NON_IDEMPOTENT, 1);
         String first = ((Step.Send) forwarding.start(0)).choice().target();
 
-        Step next = forwarding.onGivenUp(CutCause.CONTROL, 10);
+        Step next = forwarding.onTargetLost(CutCause.CONTROL, 10);
 
-        assertThat(sent(next, forwarding)).isNotEqualTo(first);
+        assertThat(send(next, forwarding)).isNotEqualTo(first);
     }
 
     /** A target spoke once more before it fell silent for good: nobody else was asked again. */
     @Test
-    void successorThatWasDroppedMayBeAskedAgain() {
+    void discardedSuccessorMayBeAskedAgain() {
         Forwarding forwarding = forwarding(RequestKind.STREAMING, 2);
-        begin(forwarding);
-        String second = forwarding.onSilence(2000).get().choice().target();
+        startStream(forwarding);
+        String second = forwarding.onTargetUnresponsive(2000).get().choice().target();
         forwarding.onSuccessorSending();
-        forwarding.onSuccessorDropped();
-        forwarding.onEventPassed(5);
+        forwarding.onSuccessorDiscarded();
+        forwarding.onEventRelayed(5);
 
-        Optional<Step.Send> again = forwarding.onSilence(4000);
+        Optional<Step.Send> again = forwarding.onTargetUnresponsive(4000);
 
         assertThat(again.map(send -> send.choice().target())).isEqualTo(Optional.of(second));
     }
 
     /** Where a stream may go back to was out of the question for good once it was full. */
     @Test
-    void streamWaitsForTheTargetThatItLeftIfThatRefusesItOnce() {
+    void streamWaitsForItsOldTargetIfThatRefusesOnce() {
         Forwarding forwarding = forwarding(RequestKind.STREAMING, 2);
-        begin(forwarding);
-        forwarding.onTargetWaits(20).get();
+        startStream(forwarding);
+        forwarding.onLoadPending(20).get();
         forwarding.onSuccessorSending();
-        forwarding.onSuccessorBegun();
-        forwarding.onAnswer(STREAM, 30);
-        forwarding.onEventPassed(5);
-        String first = sent(forwarding.onBroken(ResultCode.TARGET_LOST, 40), forwarding);
+        forwarding.onSuccessorStarted();
+        forwarding.onAnswerHead(STREAM, 30);
+        forwarding.onEventRelayed(5);
+        String first = send(forwarding.onAnswerFailed(ResultCode.TARGET_LOST, 40), forwarding);
 
-        Step step = forwarding.onAnswer(SHED, 50);
+        Step step = forwarding.onAnswerHead(REFUSED, 50);
         assertThat(step).isInstanceOf(Step.Wait.class);
         while (step instanceof Step.Wait wait) {
-            step = forwarding.onWaited(wait.until());
+            step = forwarding.onWaitElapsed(wait.until());
         }
 
-        assertThat(sent(step, forwarding)).isEqualTo(first);
+        assertThat(send(step, forwarding)).isEqualTo(first);
     }
 
     /** It was sent, but is known not to have run. */
     @Test
-    void refusalsOfBothAreARefusal() {
+    void refusalByRunAndSuccessorIsARefusal() {
         Forwarding forwarding = forwarding(RequestKind.IDEMPOTENT, 2);
-        sent(forwarding.start(0), forwarding);
-        forwarding.onSilence(900).get();
+        send(forwarding.start(0), forwarding);
+        forwarding.onTargetUnresponsive(900).get();
         forwarding.onSuccessorSending();
-        forwarding.onSuccessorRefused(SHED, 910);
+        forwarding.onSuccessorRefused(REFUSED, 910);
 
-        assertThat(forwarding.onAnswer(SHED, 920)).isInstanceOf(Step.Refuse.class);
+        assertThat(forwarding.onAnswerHead(REFUSED, 920)).isInstanceOf(Step.Refuse.class);
     }
 
     /** Each refusal was followed by the next second attempt 20 ms later. */
     @Test
-    void brokenStreamThatIsRefusedDoesNotUseUpTheSecondAttemptsOfOthers() {
+    void refusedBrokenStreamDoesNotExhaustTheRetryBudget() {
         Forwarding forwarding = forwarding(RequestKind.STREAMING, 2);
-        begin(forwarding);
-        Step step = forwarding.onBroken(ResultCode.TARGET_LOST, 30);
+        startStream(forwarding);
+        Step step = forwarding.onAnswerFailed(ResultCode.TARGET_LOST, 30);
 
         int attempts = 0;
         long now = 30;
-        while (!(step instanceof Step.Break)) {
+        while (!(step instanceof Step.Abort)) {
             if (step instanceof Step.Wait wait) {
                 now = wait.until();
-                step = forwarding.onWaited(now);
+                step = forwarding.onWaitElapsed(now);
             } else {
                 attempts++;
-                sent(step, forwarding);
+                send(step, forwarding);
                 now += 2;
-                step = forwarding.onAnswer(SHED, now);
+                step = forwarding.onAnswerHead(REFUSED, now);
             }
         }
 
@@ -154,17 +154,17 @@
     }
 
     private void add(String id) {
-        mBook.onReport(
+        mTargets.onReport(
                 new TargetReport(id, "s", id + ":1", "z", "v1", 4, false, 0, Map.of("m", 1L), 1));
     }
 
-    private static void begin(Forwarding forwarding) {
-        sent(forwarding.start(0), forwarding);
-        forwarding.onAnswer(STREAM, 10);
-        forwarding.onEventPassed(4);
+    private static void startStream(Forwarding forwarding) {
+        send(forwarding.start(0), forwarding);
+        forwarding.onAnswerHead(STREAM, 10);
+        forwarding.onEventRelayed(4);
     }
 
-    private static String sent(Step step, Forwarding forwarding) {
+    private static String send(Step step, Forwarding forwarding) {
         assertThat(step).isInstanceOf(Step.Send.class);
         forwarding.onSending();
         return ((Step.Send) step).choice().target();
@@ -179,7 +179,7 @@
                         "h",
                         "/",
                         kind,
-                        MILLIS,
+                        TIMEOUT_MILLIS,
                         500,
                         500,
                         1,
@@ -198,10 +198,14 @@
                         Optional.empty(),
                         0,
                         0,
-                        MILLIS,
+                        TIMEOUT_MILLIS,
                         new RequestFingerprint(1, 1),
                         -1);
         return Forwarding.of(
-                request, mBook, mRetries, ShutdownAdmission.create(), SuspectRequests.create());
+                request,
+                mTargets,
+                mRetryBudget,
+                ShutdownAdmission.create(),
+                SuspectRequests.create());
     }
 }
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/SuspectRequestsTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/SuspectRequestsTest.java
@@ -24,60 +24,67 @@
 
 /** What an entry does with requests that are said to crash targets. */
 class SuspectRequestsTest {
-    private static final RequestFingerprint ONE = new RequestFingerprint(1, 1);
-    private static final long UNTIL = 5000;
+    private static final RequestFingerprint REQUEST = new RequestFingerprint(1, 1);
+    private static final long REFUSED_UNTIL = 5000;
 
     private final SuspectRequests mSuspects = SuspectRequests.create();
 
     @Test
-    void refusedRequestMayComeBackAtTheEndOfItsTime() {
-        tell(Suspect.Standing.REFUSED);
+    void refusedRequestMayBeRetriedOnceItsRefusalExpires() {
+        reportSuspect(Suspect.Standing.REFUSED);
 
-        assertThat(mSuspects.maySendOn(ONE, 0, UNTIL - 1)).isFalse();
-        assertThat(mSuspects.refusal(ONE, UNTIL - 700).retryAfterMillis()).isEqualTo(700);
-        assertThat(mSuspects.refusal(ONE, 0).code()).isEqualTo(ResultCode.CRASHES_TARGETS);
-        assertThat(mSuspects.maySendOn(ONE, 0, UNTIL)).isTrue();
-        assertThat(mSuspects.maySendOn(ONE, 1, UNTIL)).isFalse();
+        assertThat(mSuspects.maySend(REQUEST, 0, REFUSED_UNTIL - 1)).isFalse();
+        assertThat(mSuspects.refusal(REQUEST, REFUSED_UNTIL - 700).retryAfterMillis())
+                .isEqualTo(700);
+        assertThat(mSuspects.refusal(REQUEST, 0).code()).isEqualTo(ResultCode.CRASHES_TARGETS);
+        assertThat(mSuspects.maySend(REQUEST, 0, REFUSED_UNTIL)).isTrue();
+        assertThat(mSuspects.maySend(REQUEST, 1, REFUSED_UNTIL)).isFalse();
     }
 
     @Test
-    void watchedRequestIsSentOn() {
-        tell(Suspect.Standing.WATCHED);
+    void watchedRequestIsForwarded() {
+        reportSuspect(Suspect.Standing.WATCHED);
 
-        assertThat(mSuspects.maySendOn(ONE, 1, 0)).isTrue();
+        assertThat(mSuspects.maySend(REQUEST, 1, 0)).isTrue();
     }
 
     @Test
     void clearedRequestIsNoSuspect() {
-        tell(Suspect.Standing.REFUSED);
-        tell(Suspect.Standing.CLEARED);
+        reportSuspect(Suspect.Standing.REFUSED);
+        reportSuspect(Suspect.Standing.CLEARED);
 
-        assertThat(mSuspects.maySendOn(ONE, 1, 0)).isTrue();
+        assertThat(mSuspects.maySend(REQUEST, 1, 0)).isTrue();
         assertThat(mSuspects.suspects()).isEmpty();
     }
 
     @Test
-    void suspectsAreKeptInBounds() {
+    void numberOfSuspectsIsBounded() {
         for (int i = 0; i < 2 * SuspectRequests.MAX_SUSPECTS; i++) {
             RequestFingerprint request = new RequestFingerprint(i, 0);
             mSuspects.onSuspect(
-                    new Suspect(request, Suspect.Standing.REFUSED, Set.of("a"), UNTIL, 1));
+                    new Suspect(request, Suspect.Standing.REFUSED, Set.of("a"), REFUSED_UNTIL, 1));
         }
 
         assertThat(mSuspects.suspects()).hasSize(SuspectRequests.MAX_SUSPECTS);
     }
 
     @Test
-    void whatSpeaksForASuspectIsTold() {
-        assertThat(mSuspects.onCompleted(ONE, 40)).isFalse();
-        assertThat(mSuspects.isHarmless(ONE, 40 + CrashLedger.HARMLESS_MILLIS)).isTrue();
-        assertThat(mSuspects.isHarmless(ONE, 41 + CrashLedger.HARMLESS_MILLIS)).isFalse();
+    void completionOfASuspectIsReported() {
+        assertThat(mSuspects.onCompleted(REQUEST, 40)).isFalse();
+        assertThat(
+                        mSuspects.hasCompletedRecently(
+                                REQUEST, 40 + PoisonRequestDetector.RECENT_COMPLETION_MILLIS))
+                .isTrue();
+        assertThat(
+                        mSuspects.hasCompletedRecently(
+                                REQUEST, 41 + PoisonRequestDetector.RECENT_COMPLETION_MILLIS))
+                .isFalse();
 
-        assertThat(tell(Suspect.Standing.WATCHED).getAsLong()).isEqualTo(40);
-        assertThat(mSuspects.onCompleted(ONE, 60)).isTrue();
+        assertThat(reportSuspect(Suspect.Standing.WATCHED).getAsLong()).isEqualTo(40);
+        assertThat(mSuspects.onCompleted(REQUEST, 60)).isTrue();
     }
 
-    private OptionalLong tell(Suspect.Standing standing) {
-        return mSuspects.onSuspect(new Suspect(ONE, standing, Set.of("a"), UNTIL, 1));
+    private OptionalLong reportSuspect(Suspect.Standing standing) {
+        return mSuspects.onSuspect(new Suspect(REQUEST, standing, Set.of("a"), REFUSED_UNTIL, 1));
     }
 }
--- a/quilldyke-daemon/src/main/java/org/quilldyke/daemon/caller/RelayLog.java
+++ b/quilldyke-daemon/src/main/java/org/quilldyke/daemon/caller/RelayLog.java
@@ -16,7 +16,7 @@
 package org.quilldyke.daemon.caller;
 
 import org.quilldyke.QuilldykeException;
-import org.quilldyke.caller.Attempt;
+import org.quilldyke.caller.AttemptState;
 import org.quilldyke.caller.CutCause;
 import org.quilldyke.caller.StreamCursor;
 import org.quilldyke.daemon.log.Event;
@@ -75,7 +75,7 @@
     }
 
     /** Writes that the present attempt failed. */
-    void failed(TargetRecord target, Attempt state, String why) {
+    void failed(TargetRecord target, AttemptState state, String why) {
         mContext.log()
                 .write(
                         Event.ATTEMPT_FAILED,
@@ -101,7 +101,7 @@
                         "target",
                         target.id(),
                         "position",
-                        mCursor.next(),
+                        mCursor.nextPosition(),
                         "cause",
                         why);
     }
@@ -121,7 +121,7 @@
                         "by",
                         cause.label(),
                         "events",
-                        mCursor.next(),
+                        mCursor.nextPosition(),
                         "target",
                         target.id(),
                         "known",
@@ -131,7 +131,7 @@
                         "ms",
                         now - begunAt,
                         "runs",
-                        mCursor.attempts(),
+                        mCursor.attemptsStarted(),
                         "max_runs",
                         mContext.site().limits().attempts(),
                         "repeatable",
--- a/quilldyke-daemon/src/main/java/org/quilldyke/daemon/caller/RelayedAnswer.java
+++ b/quilldyke-daemon/src/main/java/org/quilldyke/daemon/caller/RelayedAnswer.java
@@ -72,12 +72,12 @@
 
     /** Returns tokens relayed; the closing chunk carries none. */
     int tokens() {
-        return mCursor.isFinished() ? mCursor.next() - 1 : mCursor.next();
+        return mCursor.isFinished() ? mCursor.nextPosition() - 1 : mCursor.nextPosition();
     }
 
     /** Returns the number of attempts made. */
     int attempts() {
-        return mCursor.attempts();
+        return mCursor.attemptsStarted();
     }
 
     /** Returns the id of the request. */
@@ -87,15 +87,15 @@
 
     /** Returns whether only the closing chunk is missing, which needs no engine. */
     boolean isTextWhole(EngineRequest request) {
-        return request.maxTokens() > 0 && mCursor.next() == request.maxTokens();
+        return request.maxTokens() > 0 && mCursor.nextPosition() == request.maxTokens();
     }
 
     /** Ends an answer whose text is whole, and returns its closing chunk. */
     Chunk close(EngineRequest request) {
-        int position = mCursor.next();
+        int position = mCursor.nextPosition();
         mFinishReason = "length";
         mClosing = Answers.closingChunk(mCursor.request(), request, mFinishReason);
-        mCursor.finishHere();
+        mCursor.finishWithLocalChunk();
         return new Chunk(position, mClosing, "", mFinishReason, 0);
     }
 
@@ -112,7 +112,7 @@
             return StreamCursor.Verdict.REPEATED;
         }
         ChunkId id = ChunkId.parse(event.id());
-        int position = mCursor.next();
+        int position = mCursor.nextPosition();
         StreamCursor.Verdict verdict = mCursor.accept(id);
         if (verdict != StreamCursor.Verdict.NEXT) {
             drop(event, position, verdict);
--- a/quilldyke-daemon/src/main/java/org/quilldyke/daemon/caller/RunRelay.java
+++ b/quilldyke-daemon/src/main/java/org/quilldyke/daemon/caller/RunRelay.java
@@ -28,7 +28,7 @@
 import org.quilldyke.Outcome;
 import org.quilldyke.QuilldykeException;
 import org.quilldyke.ResultCode;
-import org.quilldyke.caller.Attempt;
+import org.quilldyke.caller.AttemptState;
 import org.quilldyke.caller.ChunkId;
 import org.quilldyke.caller.CutCause;
 import org.quilldyke.caller.StreamCursor;
@@ -77,7 +77,7 @@
     private final long mPatienceMillis;
     private TargetRecord mTarget;
     private SseReader mEvents;
-    private Attempt mAttempt = Attempt.QUEUED;
+    private AttemptState mAttempt = AttemptState.QUEUED;
     private Outcome mOutcome = Outcome.NOT_RUN;
     private int mResumesLeft;
     private KeptRun mKept;
@@ -128,7 +128,7 @@
         long patience = context.site().timings().stall();
         RunRelay relay = new RunRelay(context, request, cursor, Map.of(), patience);
         relay.mTarget = at;
-        relay.mAttempt = Attempt.ACCEPTED;
+        relay.mAttempt = AttemptState.ACCEPTED;
         relay.mOutcome = Outcome.RAN;
         relay.mResumesLeft = RESUMES_IN_A_ROW;
         return relay;
@@ -242,10 +242,10 @@
 
     private Promise<Void> send(int attempt) {
         mContext.metrics().attempts().inc();
-        mAttempt = Attempt.SENDING;
+        mAttempt = AttemptState.SENDING;
         mLost = false;
         mResumesLeft = RESUMES_IN_A_ROW;
-        byte[] body = mRequest.bodyFor(mTarget, mAnswer.text(), mCursor.next());
+        byte[] body = mRequest.bodyFor(mTarget, mAnswer.text(), mCursor.nextPosition());
         return mContext.client()
                 .complete(mTarget, mRequest.path(), mCursor.request(), attempt, body)
                 .then(this::onAccepted, this::onAttemptFailed);
@@ -265,13 +265,13 @@
         if (!isUnderWay()) {
             return Promise.ofException(withOutcome(e));
         }
-        mContext.budget().giveBack();
+        mContext.budget().release();
         return await(withOutcome(e), true);
     }
 
     /** Frees the engine of a run that it has accepted, unless somebody resumes it meanwhile. */
     private void cancelRun(long afterMillis) {
-        if (mAttempt == Attempt.ACCEPTED && !mLost) {
+        if (mAttempt == AttemptState.ACCEPTED && !mLost) {
             cancel(mTarget, mCursor.attempt(), afterMillis);
         }
     }
@@ -292,7 +292,7 @@
     }
 
     private Promise<Void> onAccepted(SseReader events) {
-        mAttempt = Attempt.ACCEPTED;
+        mAttempt = AttemptState.ACCEPTED;
         mEvents = events;
         if (mClosed) {
             endAttempt();
@@ -320,7 +320,7 @@
         mLog.failed(mTarget, mAttempt, why);
         mOutcome = outcome();
         mTried.add(mTarget.id());
-        if (mAttempt == Attempt.ACCEPTED && !mLost && mKept == null) {
+        if (mAttempt == AttemptState.ACCEPTED && !mLost && mKept == null) {
             mKept = new KeptRun(mTarget, mCursor.attempt());
         } else {
             endAttempt();
@@ -332,7 +332,7 @@
     /** Another engine hasn't run what it was sent, which costs an answer under way nothing. */
     private Promise<Void> onUnrun() {
         mUnrunAttempts++;
-        mContext.budget().giveBack();
+        mContext.budget().release();
         return await(failure(mFailureCode), true);
     }
 
@@ -341,14 +341,14 @@
             return failed(mFailureCode, mFailure);
         }
         if (!mAttempt.outcome().mayRetry(mRequest.repeatable())) {
-            boolean unknown = mAttempt == Attempt.SENDING;
+            boolean unknown = mAttempt == AttemptState.SENDING;
             return await(failure(unknown ? ResultCode.TARGET_LOST : mFailureCode), false);
         }
-        int spent = mCursor.attempts() - mUnrunAttempts;
+        int spent = mCursor.attemptsStarted() - mUnrunAttempts;
         if (spent >= mContext.site().limits().attempts()) {
             return await(failure(mFailureCode), false);
         }
-        if (!mContext.budget().tryRetry()) {
+        if (!mContext.budget().tryAcquire()) {
             return await(failure(ResultCode.RETRIES_EXHAUSTED), true);
         }
         return startAttempt();
@@ -378,9 +378,9 @@
     /** Goes back to the run that was kept, since no other one has begun. */
     private Promise<Void> goBack() {
         mTarget = mKept.target();
-        mCursor.returnTo(mKept.attempt());
+        mCursor.returnToAttempt(mKept.attempt());
         mKept = null;
-        mAttempt = Attempt.ACCEPTED;
+        mAttempt = AttemptState.ACCEPTED;
         mLost = false;
         mResumesLeft = 1;
         return goOn(mFailure);
@@ -388,7 +388,7 @@
 
     /** Returns whether something of an answer was relayed, or may be coming. */
     private boolean isUnderWay() {
-        return mCursor.next() > 0 || mKept != null;
+        return mCursor.nextPosition() > 0 || mKept != null;
     }
 
     private Promise<List<Chunk>> onRead(List<SseReader.SseEvent> events) {
@@ -433,7 +433,7 @@
 
     private StreamCursor.Verdict accept(SseReader.SseEvent event, List<Chunk> chunks)
             throws IOException, QuilldykeException {
-        int position = mCursor.next();
+        int position = mCursor.nextPosition();
         StreamCursor.Verdict verdict = mAnswer.accept(event, chunks);
         if (verdict == StreamCursor.Verdict.NEXT) {
             onHeard(position);
@@ -484,7 +484,7 @@
                         mTarget,
                         mCursor.request(),
                         mCursor.attempt(),
-                        mCursor.next(),
+                        mCursor.nextPosition(),
                         mRequest.saltFor(mTarget.weights()));
     }
 
@@ -506,7 +506,7 @@
     private long patience() {
         long now = mContext.clock().getAsLong();
         long patience =
-                mCursor.next() == 0
+                mCursor.nextPosition() == 0
                         ? mContext.site().timings().firstToken()
                         : mContext.site().timings().stall();
         long left = mRequest.deadlineAt() - now;
--- a/quilldyke-daemon/src/main/java/org/quilldyke/daemon/engine/EngineClient.java
+++ b/quilldyke-daemon/src/main/java/org/quilldyke/daemon/engine/EngineClient.java
@@ -28,7 +28,7 @@
 import java.time.Duration;
 import org.quilldyke.Outcome;
 import org.quilldyke.QuilldykeException;
-import org.quilldyke.caller.Attempt;
+import org.quilldyke.caller.AttemptState;
 import org.quilldyke.daemon.json.JsonTree;
 import org.quilldyke.engine.TargetRecord;
 
@@ -117,8 +117,10 @@
                 .mapException(
                         e ->
                                 isUnconnected(e)
-                                        ? new AttemptException(Attempt.UNREACHABLE, 0, e.toString())
-                                        : new AttemptException(Attempt.SENDING, 0, e.toString()));
+                                        ? new AttemptException(
+                                                AttemptState.UNREACHABLE, 0, e.toString())
+                                        : new AttemptException(
+                                                AttemptState.SENDING, 0, e.toString()));
     }
 
     private static Promise<SseReader> events(HttpResponse response) {
@@ -138,7 +140,7 @@
                             boolean notRun = saysNotRun(body.getArray());
                             return Promise.ofException(
                                     new AttemptException(
-                                            notRun ? Attempt.REFUSED : Attempt.SENDING,
+                                            notRun ? AttemptState.REFUSED : AttemptState.SENDING,
                                             status,
                                             "status " + status + " " + text));
                         });
@@ -169,10 +171,10 @@
         private static final int CONFLICT = 409;
         private static final int GONE = 410;
 
-        private final Attempt mState;
+        private final AttemptState mState;
         private final int mStatus;
 
-        AttemptException(Attempt state, int status, String detail) {
+        AttemptException(AttemptState state, int status, String detail) {
             super(detail);
             mState = state;
             mStatus = status;
@@ -183,14 +185,14 @@
          * it holds none, or nobody listens at its address. Any other says nothing of the run.
          */
         public boolean isRunLost() {
-            return mState == Attempt.UNREACHABLE
+            return mState == AttemptState.UNREACHABLE
                     || mStatus == NOT_FOUND
                     || mStatus == CONFLICT
                     || mStatus == GONE;
         }
 
         /** Returns how far the attempt had come. */
-        public Attempt state() {
+        public AttemptState state() {
             return mState;
         }
     }
--- a/quilldyke-daemon/src/main/java/org/quilldyke/daemon/service/ServiceRelay.java
+++ b/quilldyke-daemon/src/main/java/org/quilldyke/daemon/service/ServiceRelay.java
@@ -29,7 +29,7 @@
 import org.quilldyke.Outcome;
 import org.quilldyke.QuilldykeException;
 import org.quilldyke.ResultCode;
-import org.quilldyke.caller.Attempt;
+import org.quilldyke.caller.AttemptState;
 import org.quilldyke.control.Claim;
 import org.quilldyke.control.Configuration;
 import org.quilldyke.daemon.caller.CallerHeaders;
@@ -217,10 +217,10 @@
 
     private Promise<HttpResponse> onFailed(
             Call call, int attempt, Set<String> tried, Outcome before, Exception e) {
-        Attempt state =
+        AttemptState state =
                 e instanceof EngineClient.AttemptException failure
                         ? failure.state()
-                        : Attempt.SENDING;
+                        : AttemptState.SENDING;
         Outcome outcome = before.and(state.outcome());
         mContext.log()
                 .write(
@@ -238,7 +238,7 @@
                 !call.running().mCut
                         && state.outcome().mayRetry(call.repeatable())
                         && attempt < mContext.site().limits().attempts()
-                        && mContext.budget().tryRetry();
+                        && mContext.budget().tryAcquire();
         if (again) {
             return attempt(call, attempt + 1, tried, outcome);
         }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/EntrySubscriber.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/EntrySubscriber.java
@@ -134,7 +134,7 @@
                         () -> {
                             boolean before = mEntry.isConfirmed();
                             mEntry.onConfirmed(askedAt, control);
-                            mEntry.retries().onInstances(answer.getEntries());
+                            mEntry.retries().onInstanceCount(answer.getEntries());
                             mEntry.book().onRank(rank(answer), mEntry.now());
                             if (!before && mEntry.isConfirmed()) {
                                 mLog.write(
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/GatewayProcess.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/GatewayProcess.java
@@ -32,7 +32,7 @@
 import org.quilldyke.ResultCode;
 import org.quilldyke.caller.KeyLease;
 import org.quilldyke.caller.LeaseClock;
-import org.quilldyke.caller.RetryAllowance;
+import org.quilldyke.caller.ServiceRetryBudget;
 import org.quilldyke.daemon.log.Event;
 import org.quilldyke.daemon.log.EventLog;
 import org.quilldyke.gateway.caller.CallerServer;
@@ -275,8 +275,8 @@
                         mSettings.failureDomain(),
                         Math.round(timings.convergence() * OLD_WEIGHTS_PART),
                         new SplittableRandom(mSettings.instance().hashCode()));
-        RetryAllowance retries =
-                RetryAllowance.create(
+        ServiceRetryBudget retries =
+                ServiceRetryBudget.create(
                         timings.retryRatio(),
                         timings.retryFixed(),
                         timings.retryWindow(),
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CrashWatch.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CrashWatch.java
@@ -18,7 +18,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
-import org.quilldyke.caller.LostRuns;
+import org.quilldyke.caller.DisconnectedRuns;
 import org.quilldyke.caller.RequestFingerprint;
 import org.quilldyke.caller.SuspectRequests;
 import org.quilldyke.caller.TargetCrash;
@@ -29,7 +29,7 @@
     private static final long LOOK_MILLIS = 20;
 
     private final Entry mEntry;
-    private final LostRuns mLost = LostRuns.create();
+    private final DisconnectedRuns mLost = DisconnectedRuns.create();
     private final SuspectRequests mSuspects = SuspectRequests.create();
     private CrashListener mListener = CrashListener.NONE;
 
@@ -47,7 +47,7 @@
 
     /** A target has closed the connection of a run: whether it has ended shows in a moment. */
     void onRunLost(String target, RequestFingerprint request) {
-        mLost.onLost(target, request, mEntry.now());
+        mLost.onDisconnected(target, request, mEntry.now());
         mEntry.loop()
                 .schedule(() -> mEntry.pool().look(target), LOOK_MILLIS, TimeUnit.MILLISECONDS);
     }
@@ -55,14 +55,14 @@
     /** A target takes no connections, or has started again. */
     void onTargetEnded(String target) {
         long now = mEntry.now();
-        mLost.onEnded(target, now)
+        mLost.onTargetEnded(target, now)
                 .filter(crash -> !mEntry.book().isLeaving(target))
                 .ifPresent(crash -> tell(crash, now));
     }
 
     /** A target has said that it is gone: what it breaks off then is no crash. */
     void onTargetLeft(String target) {
-        mLost.onLeft(target);
+        mLost.onTargetLeft(target);
     }
 
     void onCompleted(RequestFingerprint request) {
@@ -75,10 +75,10 @@
     private void tell(TargetCrash crash, long now) {
         Set<RequestFingerprint> requests =
                 crash.requests().stream()
-                        .filter(request -> !mSuspects.isHarmless(request, now))
+                        .filter(request -> !mSuspects.hasCompletedRecently(request, now))
                         .collect(Collectors.toSet());
         if (!requests.isEmpty()) {
-            mListener.onCrash(new TargetCrash(crash.target(), requests, crash.at()));
+            mListener.onCrash(new TargetCrash(crash.target(), requests, crash.crashedAt()));
         }
     }
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/Entry.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/Entry.java
@@ -29,7 +29,7 @@
 import org.quilldyke.caller.ForwardRequest;
 import org.quilldyke.caller.Forwarding;
 import org.quilldyke.caller.KeyLease;
-import org.quilldyke.caller.RetryAllowance;
+import org.quilldyke.caller.ServiceRetryBudget;
 import org.quilldyke.caller.ShutdownAdmission;
 import org.quilldyke.caller.SuspectRequests;
 import org.quilldyke.daemon.log.Event;
@@ -65,7 +65,7 @@
     private final Dialect mDialect;
     private final TargetBook mBook;
     private final TargetPool mPool;
-    private final RetryAllowance mRetries;
+    private final ServiceRetryBudget mRetries;
     private final ShutdownAdmission mShutdown = ShutdownAdmission.create();
     private final KeyLease mLease;
     private final long mApplyMillis;
@@ -341,7 +341,7 @@
     }
 
     /** Returns what bounds second attempts. */
-    public RetryAllowance retries() {
+    public ServiceRetryBudget retries() {
         return mRetries;
     }
 
@@ -364,9 +364,9 @@
         return mCrashes;
     }
 
-    /** Returns the time since the configuration was confirmed, see {@link KeyLease#age}. */
+    /** Returns the time since the configuration was confirmed, see {@link KeyLease#ageMillis}. */
     public long keyAge() {
-        return mLease.age(mLeaseClock.getAsLong());
+        return mLease.ageMillis(mLeaseClock.getAsLong());
     }
 
     /** Returns for how long keys may be taken for good. */
@@ -425,7 +425,7 @@
             LongSupplier leaseClock,
             Dialect dialect,
             TargetBook book,
-            RetryAllowance retries,
+            ServiceRetryBudget retries,
             KeyLease lease,
             long applyMillis,
             EventLog log,
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/Exchange.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/Exchange.java
@@ -95,7 +95,7 @@
             refuse(e.code(), e.retryAfterMillis(), e.getMessage());
             return;
         }
-        long left = Math.max(0, mRequest.answerBy() - now());
+        long left = Math.max(0, mRequest.deadline() - now());
         mTimeOver = mEntry.loop().schedule(this::onTimeOver, left, TimeUnit.MILLISECONDS);
         mForwarding = mEntry.forwarding(mRequest);
         mEntry.metrics().onRequest(mRequest.route().kind());
@@ -109,7 +109,7 @@
         mLog.callerGone(id(), now() - mArrivedAt);
         mEntry.metrics().onCallerGone();
         if (mForwarding != null) {
-            mForwarding.abandon();
+            mForwarding.onCallerDisconnected();
         }
         end();
     }
@@ -122,7 +122,7 @@
         Step step =
                 mForwarding == null
                         ? new Step.Refuse(ResultCode.SHUTTING_DOWN, 0, "before a target was chosen")
-                        : mForwarding.onInstanceEnds();
+                        : mForwarding.onShutdownDeadline();
         cancelAll();
         perform(step);
     }
@@ -141,7 +141,7 @@
     /** A target is silent to all; it is kept until somebody else begins to answer. */
     void onTargetSilent(String target) {
         if (isPresentAt(target) && mayUseKey()) {
-            askSuccessor(mForwarding.onSilence(now()), "the target is silent");
+            askSuccessor(mForwarding.onTargetUnresponsive(now()), "the target is silent");
         }
     }
 
@@ -153,7 +153,7 @@
             leave(mAnswer);
             logAttempt(mAnswer, "broken", ResultCode.TARGET_LOST.label() + " " + why);
             mAnswer = null;
-            perform(mForwarding.onGivenUp(CutCause.CONTROL, now()));
+            perform(mForwarding.onTargetLost(CutCause.CONTROL, now()));
         } else if (!mEnded && mSuccessor != null && mSuccessor.isAt(target)) {
             mSuccessor.giveUp(ResultCode.TARGET_LOST, why);
         }
@@ -162,7 +162,7 @@
     /** A target waits for its runs to end, to load weights. */
     void onTargetWaits(String target) {
         if (isPresentAt(target)) {
-            askSuccessor(mForwarding.onTargetWaits(now()), "the target waits to load weights");
+            askSuccessor(mForwarding.onLoadPending(now()), "the target waits to load weights");
         }
     }
 
@@ -171,7 +171,7 @@
      */
     void onInstanceEnding() {
         if (!mEnded && mAnswer != null && !mPaused) {
-            askSuccessor(mForwarding.onInstanceEnding(now()), "it would outlast the instance");
+            askSuccessor(mForwarding.onShutdownCheck(now()), "it would outlast the instance");
         }
     }
 
@@ -182,11 +182,11 @@
     void onUnsent(TargetAnswer answer, String why) {
         logAttempt(answer, "unsent", why);
         if (answer == mSuccessor) {
-            mForwarding.onSuccessorUnsent(now());
+            mForwarding.onSuccessorUnreachable(now());
             stay();
         } else {
             mAnswer = null;
-            perform(mForwarding.onUnsent(now()));
+            perform(mForwarding.onUnreachable(now()));
         }
     }
 
@@ -196,7 +196,7 @@
         } else {
             mForwarding.onSending();
             mSentAt = now();
-            mSilence.start(mAnswer, mForwarding.silenceMillis());
+            mSilence.start(mAnswer, mForwarding.unresponsiveTimeoutMillis());
         }
     }
 
@@ -209,21 +209,21 @@
         } else {
             mSentAt = 0;
             mAnswer = null;
-            perform(mForwarding.onAnswer(answer.facts(), now()));
+            perform(mForwarding.onAnswerHead(answer.facts(), now()));
         }
     }
 
     /** A stream begins. */
     void onStream(TargetAnswer answer) {
         if (answer == mSuccessor) {
-            if (!mForwarding.mayFollow(answer.facts())) {
+            if (!mForwarding.maySuccessorTakeOver(answer.facts())) {
                 answer.giveUp(ResultCode.ANSWER_SPOILED, "no signature");
                 return;
             }
             takeOver();
         }
-        Step step = mForwarding.onAnswer(answer.facts(), now());
-        if (step instanceof Step.PassOn) {
+        Step step = mForwarding.onAnswerHead(answer.facts(), now());
+        if (step instanceof Step.Relay) {
             dropSuccessor();
         } else {
             leave(answer);
@@ -246,14 +246,14 @@
     /** An answer that isn't a stream is whole. */
     void onWhole(TargetAnswer answer) {
         if (answer == mSuccessor) {
-            if (!mForwarding.mayFollow(answer.facts())) {
+            if (!mForwarding.maySuccessorTakeOver(answer.facts())) {
                 answer.giveUp(ResultCode.STREAM_BROKEN, "status " + answer.facts().status());
                 return;
             }
             takeOver();
         }
-        Step step = mForwarding.onAnswer(answer.facts(), now());
-        if (step instanceof Step.PassOn) {
+        Step step = mForwarding.onAnswerHead(answer.facts(), now());
+        if (step instanceof Step.Relay) {
             mForwarding.onComplete();
             passAnswer();
         } else {
@@ -286,12 +286,12 @@
     void onBroken(TargetAnswer answer, ResultCode code, String why) {
         logAttempt(answer, "broken", code.label() + " " + why);
         if (answer == mSuccessor) {
-            mForwarding.onSuccessorBroken(now());
+            mForwarding.onSuccessorFailed(now());
             stay();
         } else {
             leave(answer);
             mAnswer = null;
-            perform(mForwarding.onBroken(code, now()));
+            perform(mForwarding.onAnswerFailed(code, now()));
         }
     }
 
@@ -315,16 +315,16 @@
             mWait =
                     mEntry.loop()
                             .schedule(
-                                    () -> perform(mForwarding.onWaited(now())),
+                                    () -> perform(mForwarding.onWaitElapsed(now())),
                                     millis,
                                     TimeUnit.MILLISECONDS);
-        } else if (step instanceof Step.Follow) {
+        } else if (step instanceof Step.AwaitSuccessor) {
             follow();
         } else if (step instanceof Step.Refuse refuse) {
-            refuse(refuse.code(), refuse.retryAfterMillis(), refuse.why());
+            refuse(refuse.code(), refuse.retryAfterMillis(), refuse.detail());
         } else if (step instanceof Step.Fail fail) {
             refuse(fail.code(), 0, "may have run");
-        } else if (step instanceof Step.Break broken) {
+        } else if (step instanceof Step.Abort broken) {
             logCut(broken);
             mEntry.metrics().onRefused(broken.code());
             mEntry.metrics().onCut(broken.cause());
@@ -339,7 +339,7 @@
         mChoice = send.choice();
         if (!mayUseKey()) {
             String age = "age " + mEntry.keyAge();
-            perform(mForwarding.onUnconfirmed(CallerRequests.UNCONFIRMED_RETRY_MILLIS, age));
+            perform(mForwarding.onKeyUnconfirmed(CallerRequests.UNCONFIRMED_RETRY_MILLIS, age));
             return;
         }
         mAnswer = ask(send);
@@ -351,7 +351,7 @@
      */
     private boolean mayUseKey() {
         boolean keyed = !mRequest.route().open() && mEntry.routes().needsKeys();
-        return !keyed || mForwarding.isUnderWay() || mEntry.isConfirmed();
+        return !keyed || mForwarding.isAnswerStarted() || mEntry.isConfirmed();
     }
 
     private TargetAnswer ask(Step.Send send) {
@@ -402,7 +402,7 @@
 
     /** The successor has begun. */
     private void takeOver() {
-        mForwarding.onSuccessorBegun();
+        mForwarding.onSuccessorStarted();
         logAttempt(mAnswer, "moved", mSuccessorWhy);
         leave(mAnswer);
         follow();
@@ -416,7 +416,7 @@
         mSuccessor = null;
         endHold();
         mStream.releaseHeld();
-        mSilence.start(mAnswer, mForwarding.silenceMillis());
+        mSilence.start(mAnswer, mForwarding.unresponsiveTimeoutMillis());
     }
 
     /** The successor is none: the present answer goes on as if it hadn't been asked. */
@@ -429,7 +429,7 @@
     /** The successor isn't wanted any more. */
     private void dropSuccessor() {
         if (mSuccessor != null) {
-            mForwarding.onSuccessorDropped();
+            mForwarding.onSuccessorDiscarded();
             mSuccessor.cancel();
             mSuccessor = null;
         }
@@ -457,15 +457,15 @@
 
     private void passOn(TargetAnswer answer, EventSplitter.Event event) {
         boolean numbered = event.number() != EventSplitter.NO_NUMBER;
-        if (numbered && event.number() <= mForwarding.lastEvent()) {
+        if (numbered && event.number() <= mForwarding.lastRelayedEvent()) {
             event.bytes().release();
             answer.giveUp(
                     ResultCode.ANSWER_SPOILED,
-                    "event " + event.number() + " after " + mForwarding.lastEvent());
+                    "event " + event.number() + " after " + mForwarding.lastRelayedEvent());
             return;
         }
         beginStream();
-        mForwarding.onEventPassed(numbered ? event.number() : mForwarding.lastEvent());
+        mForwarding.onEventRelayed(numbered ? event.number() : mForwarding.lastRelayedEvent());
         mStream.write(event, now());
     }
 
@@ -499,14 +499,14 @@
         if (mEnded) {
             return;
         }
-        Step step = mForwarding.onTimeOver(now());
+        Step step = mForwarding.onDeadline(now());
         cancelAll();
         perform(step);
     }
 
     private void onSilent(long millis) {
         if (!mEnded && mAnswer != null && !mPaused && mayUseKey()) {
-            askSuccessor(mForwarding.onSilence(now()), "silent for " + millis + " ms");
+            askSuccessor(mForwarding.onTargetUnresponsive(now()), "silent for " + millis + " ms");
         }
     }
 
@@ -565,21 +565,21 @@
                 mChoice,
                 mStream.firstEventMillis(),
                 mStream.longestPauseMillis(),
-                mForwarding.lastEvent(),
+                mForwarding.lastRelayedEvent(),
                 millis);
     }
 
-    private void logCut(Step.Break cut) {
-        logEnd(cut.code(), "cut after event " + mForwarding.lastEvent());
+    private void logCut(Step.Abort cut) {
+        logEnd(cut.code(), "cut after event " + mForwarding.lastRelayedEvent());
         mLog.cut(
                 mRequest,
                 cut,
                 mLeft,
                 new ExchangeLog.CutState(
                         now(),
-                        mForwarding.lastEvent(),
-                        mForwarding.runs(),
-                        mEntry.retries().left(mRequest.service(), now()),
+                        mForwarding.lastRelayedEvent(),
+                        mForwarding.runCount(),
+                        mEntry.retries().available(mRequest.service(), now()),
                         mEntry.keyAge(),
                         mVersionBegun,
                         mEntry.version(),
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/ExchangeLog.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/ExchangeLog.java
@@ -184,7 +184,7 @@
      * @param left the run that was left last
      * @param state what the decision rests on
      */
-    void cut(ForwardRequest request, Step.Break cut, LeftRun left, CutState state) {
+    void cut(ForwardRequest request, Step.Abort cut, LeftRun left, CutState state) {
         mLog.write(
                 Event.ANSWER_CUT,
                 "request",
@@ -216,7 +216,7 @@
                 "drain_ms",
                 state.drainMillis().isEmpty() ? "none" : state.drainMillis().getAsLong(),
                 "left_ms",
-                request.answerBy() - state.now());
+                request.deadline() - state.now());
     }
 
     void callerGone(String request, long millis) {
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/PassedStream.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/PassedStream.java
@@ -69,9 +69,9 @@
             return;
         }
         if (whole) {
-            shutdown.onEnded(request, mEvents, now - begun);
+            shutdown.onCompleted(request, mEvents, now - begun);
         } else {
-            shutdown.onBrokenOff(request, mEvents, (mEvents > 0 ? mEventAt : now) - begun);
+            shutdown.onInterrupted(request, mEvents, (mEvents > 0 ? mEventAt : now) - begun);
         }
     }
 
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/SilenceWatch.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/SilenceWatch.java
@@ -18,7 +18,7 @@
 import io.netty.util.concurrent.ScheduledFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongConsumer;
-import org.quilldyke.caller.RestartWord;
+import org.quilldyke.caller.RestartReport;
 
 /** Looks, and looks again, whether the target of an answer has been silent for too long. */
 final class SilenceWatch {
@@ -32,7 +32,7 @@
     private long mMillis;
 
     /** The word that the target has started again, null if it isn't told or has proved wrong. */
-    private RestartWord mWord;
+    private RestartReport mWord;
 
     /**
      * Makes a watch that watches nothing yet.
@@ -57,7 +57,7 @@
     /** Notes that the answer's target is said to have started again: silence tells more now. */
     void onTargetEnded() {
         stop();
-        mWord = new RestartWord(mEntry.now());
+        mWord = new RestartReport(mEntry.now());
         lookWhenSilent();
     }
 
@@ -87,11 +87,11 @@
     /** Returns when the target has been silent for too long if it isn't heard before. */
     private long silentAt() {
         long heardAt = mAnswer.heardAt();
-        if (mWord != null && mWord.isWrong(heardAt)) {
+        if (mWord != null && mWord.isRefuted(heardAt)) {
             mWord = null;
         }
         long silentAt = heardAt + mMillis;
-        return mWord == null ? silentAt : Math.min(silentAt, mWord.believedAt(heardAt));
+        return mWord == null ? silentAt : Math.min(silentAt, mWord.acceptedAt(heardAt));
     }
 
     private void lookAfter(long millis) {
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/TargetRequests.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/TargetRequests.java
@@ -68,7 +68,7 @@
                                 request.organisation().map(Organisation::name),
                                 request.prompt().map(Prompt::model).orElse(""),
                                 request.priority(),
-                                send.lastEvent()));
+                                send.resumeAfterEvent()));
         return out;
     }
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CrashSpread.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CrashSpread.java
@@ -19,7 +19,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import org.quilldyke.caller.CrashLedger;
+import org.quilldyke.caller.PoisonRequestDetector;
 import org.quilldyke.caller.RequestFingerprint;
 import org.quilldyke.caller.Suspect;
 import org.quilldyke.daemon.log.Event;
@@ -37,7 +37,7 @@
  * so that all conclude the same, and tell entries what follows.
  */
 final class CrashSpread {
-    private final CrashLedger mLedger = CrashLedger.create();
+    private final PoisonRequestDetector mLedger = PoisonRequestDetector.create();
     private final Consumer<PeerFrame.Builder> mPeers;
     private final Consumer<CrashNews> mEntries;
     private final LongSupplier mClock;
@@ -119,7 +119,7 @@
 
     private void conclude() {
         mToSave = true;
-        List<Suspect> changes = mLedger.conclude(mClock.getAsLong());
+        List<Suspect> changes = mLedger.evaluate(mClock.getAsLong());
         changes.stream().filter(suspect -> suspect.refusals() > 0).forEach(this::log);
         if (!changes.isEmpty()) {
             mEntries.accept(encode(changes));
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/instance/CrashFrames.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/instance/CrashFrames.java
@@ -20,7 +20,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Collectors;
-import org.quilldyke.caller.CrashLedger;
+import org.quilldyke.caller.PoisonRequestDetector;
 import org.quilldyke.caller.RequestFingerprint;
 import org.quilldyke.caller.Suspect;
 import org.quilldyke.caller.TargetCrash;
@@ -35,7 +35,7 @@
     private CrashFrames() {}
 
     /** Returns the form of all that a ledger holds. */
-    public static CrashNews encode(CrashLedger ledger, long now) {
+    public static CrashNews encode(PoisonRequestDetector ledger, long now) {
         CrashNews.Builder out = CrashNews.newBuilder();
         ledger.crashes().forEach(crash -> out.addCrashes(encode(crash, now)));
         ledger.completions().forEach((request, at) -> out.addCompletions(encode(request, at, now)));
@@ -47,7 +47,7 @@
         return Crash.newBuilder()
                 .setTarget(crash.target())
                 .addAllRequests(crash.requests().stream().map(CrashFrames::encode).toList())
-                .setAgeMs(Math.max(0, now - crash.at()))
+                .setAgeMs(Math.max(0, now - crash.crashedAt()))
                 .build();
     }
 
@@ -103,7 +103,7 @@
                 .setRequest(encode(suspect.request()))
                 .setStanding(SuspectRequest.Standing.valueOf(suspect.standing().name()))
                 .addAllTargets(suspect.targets())
-                .setLeftMs(suspect.until() - now)
+                .setLeftMs(suspect.refusedUntil() - now)
                 .setRefusals(suspect.refusals())
                 .build();
     }
