--- a/quilldyke-core/src/main/java/org/quilldyke/caller/Forwarding.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/Forwarding.java
@@ -21,7 +21,7 @@
 import org.quilldyke.ResultCode;
 import org.quilldyke.manifest.Route;
 import org.quilldyke.routing.Choice;
-import org.quilldyke.routing.TargetBook;
+import org.quilldyke.routing.TargetSelector;
 
 /**
  * State machine of one forwarded request: chooses targets, decides on retries and on the outcome
@@ -58,7 +58,7 @@
     private static final long MIN_MILLIS_TO_RETRY = 30;
 
     private final ForwardRequest mRequest;
-    private final TargetBook mTargets;
+    private final TargetSelector mTargets;
     private final ServiceRetryBudget mRetryBudget;
     private final ShutdownAdmission mShutdown;
     private final SuspectRequests mSuspects;
@@ -78,7 +78,7 @@
 
     private Forwarding(
             ForwardRequest request,
-            TargetBook targets,
+            TargetSelector targets,
             ServiceRetryBudget retryBudget,
             ShutdownAdmission shutdown,
             SuspectRequests suspects) {
@@ -104,7 +104,7 @@
      */
     public static Forwarding of(
             ForwardRequest request,
-            TargetBook targets,
+            TargetSelector targets,
             ServiceRetryBudget retryBudget,
             ShutdownAdmission shutdown,
             SuspectRequests suspects) {
@@ -147,7 +147,7 @@
         }
         mHistory.onRun(mRun.target());
         if (!head.isGenuine()) {
-            mTargets.onSpoiled(mRun.target(), now);
+            mTargets.onInvalidResponse(mRun.target(), now);
             mHistory.onFailed(mRun.target());
             finishRun();
             return retryOrFail(ResultCode.ANSWER_SPOILED, now);
@@ -380,7 +380,7 @@
                 && mRun.isSent()
                 && mayRunAgain(now)
                 && mRetryBudget.hasAvailable(mRequest.service(), 1, now)
-                && !mTargets.isAlive(mRun.target(), now);
+                && !mTargets.isResponding(mRun.target(), now);
     }
 
     private Optional<Step.Send> askSuccessor(CutCause cause, long now) {
@@ -522,7 +522,7 @@
 
     /** Returns whether a target other than the present ones could answer. */
     private boolean hasOtherTarget(long now) {
-        return mTargets.hasOther(mRequest, excludedTargets(), now);
+        return mTargets.hasCandidate(mRequest, excludedTargets(), now);
     }
 
     private Set<String> excludedTargets() {
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/RestartReport.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/RestartReport.java
@@ -15,7 +15,7 @@
  */
 package org.quilldyke.caller;
 
-import org.quilldyke.routing.TargetBook;
+import org.quilldyke.routing.TargetSelector;
 
 /**
  * Control's word that a target has started again, judged by what is heard of an answer that had
@@ -32,7 +32,7 @@
      * can't have been on its way when the word came: as long as a target that was heard counts as
      * alive.
      */
-    static final long VERIFICATION_MILLIS = TargetBook.ALIVE_MILLIS;
+    static final long VERIFICATION_MILLIS = TargetSelector.RESPONDING_MILLIS;
 
     /**
      * Returns whether the target goes on with its answer: then its silence counts as anyone's.
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/ShutdownMigration.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/ShutdownMigration.java
@@ -23,8 +23,8 @@
 import java.util.OptionalInt;
 import java.util.Set;
 import org.quilldyke.routing.Choice;
-import org.quilldyke.routing.PacedChoice;
-import org.quilldyke.routing.TargetBook;
+import org.quilldyke.routing.SuccessorChoice;
+import org.quilldyke.routing.TargetSelector;
 
 /**
  * Where a stream under way goes on so that it ends before its instance has to.
@@ -34,13 +34,13 @@
  */
 final class ShutdownMigration {
     private final ForwardRequest mRequest;
-    private final TargetBook mTargets;
+    private final TargetSelector mTargets;
     private final ShutdownAdmission mShutdown;
     private final Set<String> mAsked = new HashSet<>();
     private final Map<String, Refusals> mRefusals = new HashMap<>();
     private int mRelayedEvents;
 
-    ShutdownMigration(ForwardRequest request, TargetBook targets, ShutdownAdmission shutdown) {
+    ShutdownMigration(ForwardRequest request, TargetSelector targets, ShutdownAdmission shutdown) {
         mRequest = request;
         mTargets = targets;
         mShutdown = shutdown;
@@ -73,7 +73,7 @@
      */
     Optional<Choice> fasterTarget(String current, Set<String> ineligible, long now) {
         long deadline = mShutdown.shutdownDeadline();
-        OptionalDouble pace = mTargets.paceMillis(current, now);
+        OptionalDouble pace = mTargets.eventIntervalMillis(current, now);
         if (mRequest.deadline() <= deadline || pace.isEmpty()) {
             return Optional.empty();
         }
@@ -86,9 +86,9 @@
                         excluded.add(target);
                     }
                 });
-        return mTargets.chooseQuickest(mRequest, excluded, forecast.eventsLeft(), now)
+        return mTargets.chooseSuccessor(mRequest, excluded, forecast.eventsLeft(), now)
                 .filter(other -> forecast.mustMove(other, deadline, now))
-                .map(PacedChoice::choice);
+                .map(SuccessorChoice::choice);
     }
 
     /** A stream that its caller had resumed is taken for a whole one: its rest isn't known. */
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/StreamForecast.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/StreamForecast.java
@@ -15,7 +15,7 @@
  */
 package org.quilldyke.caller;
 
-import org.quilldyke.routing.PacedChoice;
+import org.quilldyke.routing.SuccessorChoice;
 
 /**
  * How long a stream under way lasts at most, and whether it has to go on elsewhere to end in time.
@@ -66,12 +66,12 @@
      * @param other the quickest other target
      * @param deadline when the stream has to be over
      */
-    public boolean mustMove(PacedChoice other, long deadline, long now) {
+    public boolean mustMove(SuccessorChoice other, long deadline, long now) {
         long millisLeft = deadline - now;
         if (maxRemainingMillis() <= millisLeft) {
             return false;
         }
-        double otherRemainingMillis = other.restMillis(eventsLeft);
+        double otherRemainingMillis = other.remainingMillis(eventsLeft);
         return otherRemainingMillis <= millisLeft
                 ? otherRemainingMillis * (1 + SLOWDOWN_MARGIN_FRACTION) + HANDOVER_MARGIN_MILLIS
                         > millisLeft
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/TargetRun.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/TargetRun.java
@@ -16,25 +16,25 @@
 package org.quilldyke.caller;
 
 import org.quilldyke.routing.Choice;
-import org.quilldyke.routing.TargetBook;
+import org.quilldyke.routing.TargetSelector;
 
 /** One sending of a request to a target, and what the target's load counts of it. */
 final class TargetRun {
-    private final TargetBook mTargets;
+    private final TargetSelector mTargets;
     private final Choice mChoice;
     private boolean mSent;
     private boolean mFirstOnTarget;
     private boolean mPromptRead;
     private boolean mFinished;
 
-    private TargetRun(TargetBook targets, Choice choice) {
+    private TargetRun(TargetSelector targets, Choice choice) {
         mTargets = targets;
         mChoice = choice;
     }
 
     /** Returns a run that is about to be sent, and counts for its target's load. */
-    static TargetRun open(TargetBook targets, Choice choice, ForwardRequest request, long now) {
-        targets.onChosen(choice, request, now);
+    static TargetRun open(TargetSelector targets, Choice choice, ForwardRequest request, long now) {
+        targets.onDispatch(choice, request, now);
         return new TargetRun(targets, choice);
     }
 
@@ -66,7 +66,7 @@
     void onPromptRead() {
         if (!mPromptRead) {
             mPromptRead = true;
-            mTargets.onPromptRead(mChoice);
+            mTargets.onPrefillEnd(mChoice);
         }
     }
 
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/NamedLimit.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/AdvertisedLimit.java
@@ -20,24 +20,24 @@
  *
  * @param target which
  * @param perSecond requests a second, {@link #NONE} if it names no limit
- * @param at when it was heard, in milliseconds of this process's clock
+ * @param receivedAt when it was heard, in milliseconds of this process's clock
  */
-public record NamedLimit(String target, double perSecond, long at) {
+public record AdvertisedLimit(String target, double perSecond, long receivedAt) {
     /** Stands for no limit. */
     public static final double NONE = Double.POSITIVE_INFINITY;
 
     /** A limit holds for so long after it was heard last anywhere. */
-    static final long KEPT_MILLIS = 60_000;
+    static final long VALID_MILLIS = 60_000;
 
     /** A limit that is heard again is told this often. */
-    static final long RENEWED_MILLIS = 20_000;
+    static final long REPUBLISH_INTERVAL_MILLIS = 20_000;
 
     /** Limits that differ by less than this part are told as one. */
-    private static final double SAME_PART = 0.2;
+    private static final double SIGNIFICANT_CHANGE = 0.2;
 
     /** Returns that a target has said nothing yet. */
-    static NamedLimit unheard(String target) {
-        return new NamedLimit(target, NONE, Long.MIN_VALUE / 2);
+    static AdvertisedLimit unknown(String target) {
+        return new AdvertisedLimit(target, NONE, Long.MIN_VALUE / 2);
     }
 
     /** Returns whether it names a limit. */
@@ -47,14 +47,14 @@
 
     /** Returns whether it limits the target at {@code now}. */
     boolean isInForce(long now) {
-        return isSet() && now - at < KEPT_MILLIS;
+        return isSet() && now - receivedAt < VALID_MILLIS;
     }
 
     /** Returns whether others should hear of it who know an earlier word of the target. */
-    public boolean isNewsAfter(NamedLimit told) {
-        double difference = Math.abs(perSecond - told.perSecond);
-        return isSet() != told.isSet()
-                || difference > SAME_PART * told.perSecond
-                || isSet() && at - told.at >= RENEWED_MILLIS;
+    public boolean shouldPublishAfter(AdvertisedLimit published) {
+        double difference = Math.abs(perSecond - published.perSecond);
+        return isSet() != published.isSet()
+                || difference > SIGNIFICANT_CHANGE * published.perSecond
+                || isSet() && receivedAt - published.receivedAt >= REPUBLISH_INTERVAL_MILLIS;
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/CacheKeys.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/CacheKeys.java
@@ -34,7 +34,7 @@
     }
 
     /** Returns a key of all shared parts, by which requests for one subject are told. */
-    public static long subject(Prompt prompt) {
+    public static long sharedPrefixKey(Prompt prompt) {
         HashStream64 hash = Hashing.wyhashFinal4().hashStream();
         prompt.sharedParts().forEach(part -> hash.putLong(part.id()));
         return hash.getAsLong();
@@ -48,7 +48,7 @@
      * @param owner whose cache it is, empty for the common one
      * @param heldTokens how many tokens of the prompt are held
      */
-    static long affinity(String owner, Prompt prompt, int heldTokens) {
+    static long affinityKey(String owner, Prompt prompt, int heldTokens) {
         HashStream64 hash = Hashing.wyhashFinal4().hashStream().putString(owner);
         int tokens = 0;
         for (Prompt.Part part : prompt.sharedParts()) {
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/CacheNews.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/CacheUpdate.java
@@ -21,15 +21,15 @@
  * What has changed in the cache of an engine or a store.
  *
  * @param holder the engine's id or the store's address
- * @param up whether it answers
+ * @param reachable whether it answers
  * @param restarted whether all that was kept before is gone
  * @param added keys of parts that are kept now
  * @param removed keys of parts that aren't kept any more
  */
-public record CacheNews(
-        String holder, boolean up, boolean restarted, List<Long> added, List<Long> removed) {
+public record CacheUpdate(
+        String holder, boolean reachable, boolean restarted, List<Long> added, List<Long> removed) {
     /** Copies the lists. */
-    public CacheNews {
+    public CacheUpdate {
         added = List.copyOf(added);
         removed = List.copyOf(removed);
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/CacheView.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/CacheView.java
@@ -28,12 +28,12 @@
     private static final int MAX_PARTS = 8192;
 
     /** A prompt that was sent is read within this time, or its target has refused it. */
-    private static final long EXPECTED_MILLIS = 3000;
+    private static final long EXPECTATION_TIMEOUT_MILLIS = 3000;
 
     private static final long CONFIRMED = Long.MAX_VALUE;
 
     /** Until when each part is believed to be kept, by its key. */
-    private final Map<Long, Long> mParts =
+    private final Map<Long, Long> mPartExpiry =
             new LinkedHashMap<>(256, 0.75f, true) {
                 private static final long serialVersionUID = 1;
 
@@ -50,21 +50,21 @@
      * @param keys the keys of its parts, {@link CacheKeys#of(String, Prompt)}
      */
     int cachedTokens(long[] keys, Prompt prompt, long now) {
-        return tokensBelievedAt(keys, prompt, now);
+        return prefixTokensAt(keys, prompt, now);
     }
 
     /**
      * Returns how many tokens of a prompt are surely kept by now, so that others may fetch them.
      */
     int fetchableTokens(long[] keys, Prompt prompt) {
-        return tokensBelievedAt(keys, prompt, CONFIRMED - 1);
+        return prefixTokensAt(keys, prompt, CONFIRMED - 1);
     }
 
-    private int tokensBelievedAt(long[] keys, Prompt prompt, long time) {
+    private int prefixTokensAt(long[] keys, Prompt prompt, long time) {
         int tokens = 0;
         for (int i = 0; i < keys.length; i++) {
-            Long until = mParts.get(keys[i]);
-            if (until == null || until <= time) {
+            Long expiry = mPartExpiry.get(keys[i]);
+            if (expiry == null || expiry <= time) {
                 return tokens;
             }
             tokens += prompt.parts().get(i).tokens();
@@ -73,22 +73,22 @@
     }
 
     /** Takes a part that is kept, by an event. */
-    void add(long key) {
-        mParts.put(key, CONFIRMED);
+    void addConfirmed(long key) {
+        mPartExpiry.put(key, CONFIRMED);
     }
 
     /** Takes a prompt that is sent. */
-    void expect(String salt, Prompt prompt, long now) {
+    void addExpected(String salt, Prompt prompt, long now) {
         for (Prompt.Part part : prompt.parts()) {
-            mParts.merge(CacheKeys.of(salt, part.id()), now + EXPECTED_MILLIS, Math::max);
+            mPartExpiry.merge(CacheKeys.of(salt, part.id()), now + EXPECTATION_TIMEOUT_MILLIS, Math::max);
         }
     }
 
     void remove(long key) {
-        mParts.remove(key);
+        mPartExpiry.remove(key);
     }
 
     void clear() {
-        mParts.clear();
+        mPartExpiry.clear();
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/CostModel.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/CostModel.java
@@ -21,13 +21,13 @@
  * <p>An engine reads prompts at a steady rate, one after the other, between the steps that make the
  * next token of each request it runs; a step takes longer the more requests run.
  *
- * @param tokensPerMilli how many prompt tokens are read in a millisecond
- * @param firstMillis what the first token takes besides reading
+ * @param prefillTokensPerMilli how many prompt tokens are read in a millisecond
+ * @param firstTokenOverheadMillis what the first token takes besides reading
  * @param stepMillis how long a step takes with one request
  * @param stepMillisPerRequest how much longer with each further one
  */
 public record CostModel(
-        double tokensPerMilli, double firstMillis, double stepMillis, double stepMillisPerRequest) {
+        double prefillTokensPerMilli, double firstTokenOverheadMillis, double stepMillis, double stepMillisPerRequest) {
     /** A token of 18 KB over an engine's link of 370 to 550 Gbit/s, between failure domains. */
     public static final double ENGINE_FETCH_MILLIS_PER_TOKEN = 0.001;
 
@@ -38,15 +38,15 @@
      * What a millisecond of reading costs each request that runs and waits for it, in shared tokens
      * read again, see {@link PlacementCost}.
      */
-    private static final double DELAY_TOKENS_PER_MILLI = 0.14;
+    private static final double DELAY_COST_TOKENS_PER_MILLI = 0.14;
 
     /** What an engine alone takes for an event of four tokens: 20 to 25 ms on today's sites. */
-    private static final double IDLE_EVENT_MILLIS = 25;
+    private static final double IDLE_EVENT_INTERVAL_MILLIS = 25;
 
-    private static final int EVENT_TOKENS = 4;
+    private static final int TOKENS_PER_EVENT = 4;
 
     /** Prompts that others will send to an engine while a stream runs are on no list. */
-    private static final double UNSEEN_PROMPTS = 1.5;
+    private static final double UNKNOWN_PREFILL_FACTOR = 1.5;
 
     /** Returns the model for engines of today's sites; refined by what is seen. */
     public static CostModel standard() {
@@ -55,23 +55,23 @@
 
     /** Returns the expected time to the first token of a prompt that needn't wait. */
     public double firstTokenMillis(long missingTokens, int running) {
-        return firstMillis + stepMillis(running) + readingMillis(missingTokens);
+        return firstTokenOverheadMillis + stepMillis(running) + prefillMillis(missingTokens);
     }
 
     /** Returns how long an engine reads. */
-    public double readingMillis(long tokens) {
-        return tokens / tokensPerMilli;
+    public double prefillMillis(long tokens) {
+        return tokens / prefillTokensPerMilli;
     }
 
     /** Returns how long a prompt waits for those before it. */
     public double waitMillis(long backlogTokens, int running, int slots) {
-        double line = Math.max(0, running + 1 - slots) * stepMillis(running) * 10;
-        return readingMillis(backlogTokens) + line;
+        double slotWaitMillis = Math.max(0, running + 1 - slots) * stepMillis(running) * 10;
+        return prefillMillis(backlogTokens) + slotWaitMillis;
     }
 
     /** Returns how long an engine is expected to take for an event if none of its was seen. */
-    public double unseenEventMillis(int running) {
-        return UNSEEN_PROMPTS * (IDLE_EVENT_MILLIS + EVENT_TOKENS * stepMillisPerRequest * running);
+    public double defaultEventIntervalMillis(int running) {
+        return UNKNOWN_PREFILL_FACTOR * (IDLE_EVENT_INTERVAL_MILLIS + TOKENS_PER_EVENT * stepMillisPerRequest * running);
     }
 
     private double stepMillis(int running) {
@@ -80,6 +80,6 @@
 
     /** Returns what the request costs those that run already, in shared tokens read again. */
     public double costToOthers(long missingTokens, int running) {
-        return missingTokens / tokensPerMilli * running * DELAY_TOKENS_PER_MILLI;
+        return missingTokens / prefillTokensPerMilli * running * DELAY_COST_TOKENS_PER_MILLI;
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/SiteWeights.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/CostProfile.java
@@ -22,16 +22,16 @@
  * again; and it evicts blocks that others would have found. So a candidate's cost is its queue plus
  * its prefill times a price that grows with the requests that wait there.
  */
-public enum SiteWeights {
+public enum CostProfile {
     /** Long, heavily shared prompts: prefix hits and little recomputation first. */
     REUSE(8),
     /** Callers who cannot wait: the predicted time to first token first. */
     LATENCY(5);
 
-    private final double mBasePrice;
+    private final double mBasePrefillPrice;
 
-    SiteWeights(double basePrice) {
-        mBasePrice = basePrice;
+    CostProfile(double basePrefillPrice) {
+        mBasePrefillPrice = basePrefillPrice;
     }
 
     /**
@@ -42,6 +42,6 @@
      * @param waiting requests that wait at the candidate
      */
     double cost(double queueMillis, double prefillMillis, int waiting) {
-        return queueMillis + (mBasePrice + waiting) * prefillMillis;
+        return queueMillis + (mBasePrefillPrice + waiting) * prefillMillis;
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/DelayTracker.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/DelayTracker.java
@@ -22,21 +22,21 @@
  * that is full, loads that were told late) shows here.
  */
 final class DelayTracker {
-    private static final double NEW_PART = 0.3;
+    private static final double NEW_SAMPLE_WEIGHT = 0.3;
     private static final double HALF_LIFE_MILLIS = 1500;
 
     private double mExcessMillis;
-    private long mAt;
+    private long mUpdatedAt;
 
     /** Takes a seen and an expected time to the first event. */
-    void onSeen(double seenMillis, double expectedMillis, long now) {
-        double excess = Math.max(0, seenMillis - expectedMillis);
-        mExcessMillis = (1 - NEW_PART) * excessMillis(now) + NEW_PART * excess;
-        mAt = now;
+    void onMeasured(double measuredMillis, double expectedMillis, long now) {
+        double excess = Math.max(0, measuredMillis - expectedMillis);
+        mExcessMillis = (1 - NEW_SAMPLE_WEIGHT) * excessMillis(now) + NEW_SAMPLE_WEIGHT * excess;
+        mUpdatedAt = now;
     }
 
     /** Returns the average as of now. */
     double excessMillis(long now) {
-        return mExcessMillis * Math.pow(0.5, Math.max(0, now - mAt) / HALF_LIFE_MILLIS);
+        return mExcessMillis * Math.pow(0.5, Math.max(0, now - mUpdatedAt) / HALF_LIFE_MILLIS);
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/PaceTracker.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/EventIntervalTracker.java
@@ -21,51 +21,51 @@
  * How long a target takes for an event: the time between events over their number, of all streams
  * that this instance has open there, the older the less.
  */
-final class PaceTracker {
+final class EventIntervalTracker {
     /** Long prompts that are read beside it slow a target for a second or two. */
     private static final double HALF_LIFE_MILLIS = 1500;
 
     /** A pace that was seen this long ago is as near to the expected one as to itself. */
-    private static final double OLD_MILLIS = 4000;
+    private static final double BLEND_HALF_LIFE_MILLIS = 4000;
 
-    private static final long KNOWN_MILLIS = 10_000;
+    private static final long EXPIRY_MILLIS = 10_000;
 
-    private static final int ENOUGH_EVENTS = 3;
+    private static final int MIN_EVENTS = 3;
 
-    private double mMillis;
-    private double mEvents;
-    private int mCounted;
-    private long mAt;
+    private double mWeightedMillis;
+    private double mWeightedEvents;
+    private int mEventCount;
+    private long mLastEventAt;
 
     /** Takes an event that came so many milliseconds after the one before it. */
-    void onEvent(long millis, long now) {
-        if (isForgotten(now)) {
-            mCounted = 0;
-            mMillis = 0;
-            mEvents = 0;
+    void onEvent(long intervalMillis, long now) {
+        if (isExpired(now)) {
+            mEventCount = 0;
+            mWeightedMillis = 0;
+            mWeightedEvents = 0;
         }
-        double kept = Math.pow(0.5, Math.max(0, now - mAt) / HALF_LIFE_MILLIS);
-        mMillis = mMillis * kept + millis;
-        mEvents = mEvents * kept + 1;
-        mCounted++;
-        mAt = now;
+        double decay = Math.pow(0.5, Math.max(0, now - mLastEventAt) / HALF_LIFE_MILLIS);
+        mWeightedMillis = mWeightedMillis * decay + intervalMillis;
+        mWeightedEvents = mWeightedEvents * decay + 1;
+        mEventCount++;
+        mLastEventAt = now;
     }
 
     /** Returns how many milliseconds an event takes; nothing if that isn't known. */
-    OptionalDouble millis(long now) {
-        return mCounted < ENOUGH_EVENTS || isForgotten(now)
+    OptionalDouble intervalMillis(long now) {
+        return mEventCount < MIN_EVENTS || isExpired(now)
                 ? OptionalDouble.empty()
-                : OptionalDouble.of(mMillis / mEvents);
+                : OptionalDouble.of(mWeightedMillis / mWeightedEvents);
     }
 
     /** Returns the pace that was seen or, the longer ago that is, rather the expected one. */
-    double millis(double expected, long now) {
-        double seenPart = Math.pow(0.5, (now - mAt) / OLD_MILLIS);
-        OptionalDouble seen = millis(now);
-        return seen.isEmpty() ? expected : expected + seenPart * (seen.getAsDouble() - expected);
+    double intervalMillis(double expectedMillis, long now) {
+        double measuredWeight = Math.pow(0.5, (now - mLastEventAt) / BLEND_HALF_LIFE_MILLIS);
+        OptionalDouble measured = intervalMillis(now);
+        return measured.isEmpty() ? expectedMillis : expectedMillis + measuredWeight * (measured.getAsDouble() - expectedMillis);
     }
 
-    private boolean isForgotten(long now) {
-        return now - mAt > KNOWN_MILLIS;
+    private boolean isExpired(long now) {
+        return now - mLastEventAt > EXPIRY_MILLIS;
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/InstanceRank.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/InstanceRank.java
@@ -29,11 +29,11 @@
      * So many instances use a target that limits its requests: a part of a limit for each of many
      * would be used seldom, and all of these parts at once would exceed it.
      */
-    private static final int MOST_SHARERS = 5;
+    private static final int MAX_SHARERS = 5;
 
     /** Returns how many instances use a target that limits its requests. */
     int sharers() {
-        return Math.min(MOST_SHARERS, instances);
+        return Math.min(MAX_SHARERS, instances);
     }
 
     /** Returns whether this instance is one of them; for each target they are others. */
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/KvStoreView.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/KvStoreView.java
@@ -20,7 +20,7 @@
     private final CacheView mCache = new CacheView();
     private final DelayTracker mDelay = new DelayTracker();
     private String mAddress = "";
-    private boolean mUp = true;
+    private boolean mReachable = true;
 
     /** Takes the store's address from the manifest; empty if there is none. */
     void onAddress(String address) {
@@ -41,8 +41,8 @@
     /**
      * Takes when the first event came of an answer whose prompt was partly fetched, and expected.
      */
-    void onFetched(long seenMillis, long expectedMillis, long now) {
-        mDelay.onSeen(seenMillis, expectedMillis, now);
+    void onFirstEventAfterFetch(long measuredMillis, long expectedMillis, long now) {
+        mDelay.onMeasured(measuredMillis, expectedMillis, now);
     }
 
     /** Returns how much longer than expected answers take whose prompts are partly fetched. */
@@ -52,12 +52,12 @@
 
     /** Returns whether there is a store that answers. */
     boolean isUsable() {
-        return mUp && !mAddress.isEmpty();
+        return mReachable && !mAddress.isEmpty();
     }
 
-    void onStanding(boolean up) {
-        mUp = up;
-        if (!up) {
+    void onReachable(boolean reachable) {
+        mReachable = reachable;
+        if (!reachable) {
             mCache.clear();
         }
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/Shedding.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/LoadShedding.java
@@ -24,11 +24,11 @@
  * cold ones are refused first, and the line stays short enough for the cached ones to be worth
  * their place.
  */
-final class Shedding {
-    private static final double COLD_MILLIS = 300;
-    private static final double CACHED_MILLIS = 2200;
+final class LoadShedding {
+    private static final double MAX_UNCACHED_WAIT_MILLIS = 300;
+    private static final double EXTRA_CACHED_WAIT_MILLIS = 2200;
 
-    private Shedding() {}
+    private LoadShedding() {}
 
     /**
      * Returns whether a request is refused.
@@ -36,7 +36,7 @@
      * @param waitMillis predicted wait before its prefill
      * @param cachedShare how much of it is cached at its best target, from 0 to 1
      */
-    static boolean refuses(double waitMillis, double cachedShare) {
-        return waitMillis > COLD_MILLIS + CACHED_MILLIS * cachedShare * cachedShare;
+    static boolean rejects(double waitMillis, double cachedShare) {
+        return waitMillis > MAX_UNCACHED_WAIT_MILLIS + EXTRA_CACHED_WAIT_MILLIS * cachedShare * cachedShare;
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/LoadTable.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/LoadTable.java
@@ -48,43 +48,43 @@
 
     /** Notes a report that arrived at {@code now}. */
     public void onReport(String target, LoadReport report, long now) {
-        load(target).report(report, now - mReportLagMillis);
+        load(target).applyReport(report, now - mReportLagMillis);
     }
 
     /** Notes that a request with {@code units} of prefill was sent at {@code now}. */
     public void onDispatch(String target, long requestNumber, int units, long now) {
-        load(target).add(requestNumber, new Open(units, now));
+        load(target).add(requestNumber, new OpenRequest(units, now));
     }
 
     /** Notes that the prefill of a request is over. */
     public void onFirstToken(String target, long requestNumber) {
         Load load = load(target);
-        Open open = load.mOpen.get(requestNumber);
-        if (open != null) {
-            load.endPrefill(open);
+        OpenRequest request = load.mOpenRequests.get(requestNumber);
+        if (request != null) {
+            load.endPrefill(request);
         }
     }
 
     /** Notes that a request has ended, in whatever way. */
     public void onEnd(String target, long requestNumber) {
         Load load = load(target);
-        Open open = load.mOpen.remove(requestNumber);
-        if (open != null) {
-            load.endPrefill(open);
-            load.cover(open);
-            load.trim();
+        OpenRequest request = load.mOpenRequests.remove(requestNumber);
+        if (request != null) {
+            load.endPrefill(request);
+            load.excludeFromSums(request);
+            load.removeExcluded();
         }
     }
 
     /** Drops all that is known of a target's load. */
-    public void onTargetLost(String target) {
+    public void onTargetExpired(String target) {
         mLoads.remove(target);
     }
 
     /** Returns the prompt units that are thought to wait at the target. */
     public long queuedUnits(String target) {
         Load load = mLoads.get(target);
-        return load == null ? 0 : load.mReportedUnits + load.mUnits;
+        return load == null ? 0 : load.mReportedUnits + load.mUnreportedUnits;
     }
 
     /** Returns the requests that are thought to be at the target, running or waiting. */
@@ -92,13 +92,13 @@
         Load load = mLoads.get(target);
         return load == null
                 ? 0
-                : Math.max(load.mReportedRequests + load.mRequests, load.mOpen.size());
+                : Math.max(load.mReportedRequests + load.mUnreportedRequests, load.mOpenRequests.size());
     }
 
     /** Returns the requests that are thought to wait for their first token at the target. */
     public int waiting(String target) {
         Load load = mLoads.get(target);
-        return load == null ? 0 : load.mReportedWaiting + load.mWaiting;
+        return load == null ? 0 : load.mReportedWaiting + load.mUnreportedWaiting;
     }
 
     private Load load(String target) {
@@ -106,70 +106,70 @@
     }
 
     /** A request that was sent and hasn't ended. */
-    private static final class Open {
-        final long mAt;
+    private static final class OpenRequest {
+        final long mSentAt;
         long mUnits;
         boolean mIsWaiting = true;
-        boolean mIsCovered;
+        boolean mIsExcluded;
 
-        Open(int units, long at) {
+        OpenRequest(int units, long sentAt) {
             mUnits = units;
-            mAt = at;
+            mSentAt = sentAt;
         }
     }
 
     /** One target's report, and sums over the dispatches that it doesn't cover. */
     private static final class Load {
-        final Long2ObjectOpenHashMap<Open> mOpen = new Long2ObjectOpenHashMap<>();
-        final ArrayDeque<Open> mUncovered = new ArrayDeque<>();
+        final Long2ObjectOpenHashMap<OpenRequest> mOpenRequests = new Long2ObjectOpenHashMap<>();
+        final ArrayDeque<OpenRequest> mUnreported = new ArrayDeque<>();
         long mReportedUnits;
         int mReportedRequests;
         int mReportedWaiting;
-        long mUnits;
-        int mRequests;
-        int mWaiting;
-
-        void add(long requestNumber, Open open) {
-            mOpen.put(requestNumber, open);
-            mUncovered.addLast(open);
-            mUnits += open.mUnits;
-            mRequests++;
-            mWaiting++;
+        long mUnreportedUnits;
+        int mUnreportedRequests;
+        int mUnreportedWaiting;
+
+        void add(long requestNumber, OpenRequest request) {
+            mOpenRequests.put(requestNumber, request);
+            mUnreported.addLast(request);
+            mUnreportedUnits += request.mUnits;
+            mUnreportedRequests++;
+            mUnreportedWaiting++;
         }
 
-        void report(LoadReport report, long takenAt) {
+        void applyReport(LoadReport report, long takenAt) {
             mReportedUnits = report.queuedUnits();
             mReportedRequests = report.running() + report.waiting();
             mReportedWaiting = report.waiting();
-            while (!mUncovered.isEmpty()
-                    && (mUncovered.peekFirst().mIsCovered
-                            || mUncovered.peekFirst().mAt < takenAt)) {
-                cover(mUncovered.pollFirst());
+            while (!mUnreported.isEmpty()
+                    && (mUnreported.peekFirst().mIsExcluded
+                            || mUnreported.peekFirst().mSentAt < takenAt)) {
+                excludeFromSums(mUnreported.pollFirst());
             }
         }
 
         /** Leaves a request out of the sums: a report covers it, or it has ended. */
-        void cover(Open open) {
-            if (!open.mIsCovered) {
-                endPrefill(open);
-                open.mIsCovered = true;
-                mRequests--;
+        void excludeFromSums(OpenRequest request) {
+            if (!request.mIsExcluded) {
+                endPrefill(request);
+                request.mIsExcluded = true;
+                mUnreportedRequests--;
             }
         }
 
         /** Drops ended requests from the front, so that none are kept where reports don't come. */
-        void trim() {
-            while (!mUncovered.isEmpty() && mUncovered.peekFirst().mIsCovered) {
-                mUncovered.pollFirst();
+        void removeExcluded() {
+            while (!mUnreported.isEmpty() && mUnreported.peekFirst().mIsExcluded) {
+                mUnreported.pollFirst();
             }
         }
 
-        void endPrefill(Open open) {
-            if (open.mIsWaiting && !open.mIsCovered) {
-                mUnits -= open.mUnits;
-                mWaiting--;
+        void endPrefill(OpenRequest request) {
+            if (request.mIsWaiting && !request.mIsExcluded) {
+                mUnreportedUnits -= request.mUnits;
+                mUnreportedWaiting--;
             }
-            open.mIsWaiting = false;
+            request.mIsWaiting = false;
         }
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/NamedWeights.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/NamedWeights.java
@@ -47,7 +47,7 @@
     }
 
     /** Returns for how long a version has been out of date; 0 if it is the newest. */
-    public long outdatedFor(String model, long version, long now) {
+    public long outdatedMillis(String model, long version, long now) {
         TreeMap<Long, Long> versions = mNamedAt.get(model);
         Map.Entry<Long, Long> next = versions == null ? null : versions.higherEntry(version);
         return next == null ? 0 : Math.max(1, now - next.getValue());
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/PlacementCost.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/PlacementCost.java
@@ -26,58 +26,58 @@
  */
 final class PlacementCost {
     /** An answer that comes at its objective costs this many tokens; one that is later, more. */
-    static final double LATE_TOKENS = 2700;
+    static final double LATE_COST_TOKENS = 2700;
 
     /** Up to this part of the objective, the risk of coming late is small. */
-    static final double EASY_PART = 0.4;
+    static final double LOW_RISK_FRACTION = 0.4;
 
     /** What an answer costs that is expected at the end of the easy part. */
-    static final double EASY_TOKENS = 150;
+    static final double LOW_RISK_COST_TOKENS = 150;
 
     /**
      * What each shared token costs that is brought to an engine: something else must give way
      * there, which is brought back or read again later.
      */
-    static final double COPY_TOKENS_PER_TOKEN = 0.15;
+    static final double COPY_COST_PER_TOKEN = 0.15;
 
     /** The same at the engine to which all instances bring a subject back: no further copy. */
-    static final double RETURN_TOKENS_PER_TOKEN = 0.05;
+    static final double PREFERRED_TARGET_COPY_COST_PER_TOKEN = 0.05;
 
     /**
      * What a byte between failure domains costs. Three sites price it at 0.0024, 0.0028 and 0.0099
      * shared tokens read again; a prompt of 18 KB is worth 50 to 180 of them.
      */
-    static final double TOKENS_PER_BYTE = 0.007;
+    static final double CROSS_DOMAIN_COST_TOKENS_PER_BYTE = 0.007;
 
     /** An answer, as a stream of 10 to 70 events. */
-    static final int ANSWER_BYTES = 3000;
+    static final int TYPICAL_RESPONSE_BYTES = 3000;
 
     /**
      * What a new connection costs: two round trips, a millisecond of the target and one of the
      * instance's processor. The large site prices one like 110 to 280 shared tokens read again.
      */
-    static final double CONNECTION_TOKENS = 150;
+    static final double NEW_CONNECTION_COST_TOKENS = 150;
 
     /** Replaced weights cost a fifth of an answer's worth. */
-    static final double OLD_WEIGHTS_TOKENS = 700;
+    static final double OUTDATED_WEIGHTS_COST_TOKENS = 700;
 
     /** A prompt that is refused comes back, mostly too late for its objective. */
-    static final double REFUSAL_TOKENS = 1500;
+    static final double REFUSAL_COST_TOKENS = 1500;
 
     private PlacementCost() {}
 
     /** Returns what it costs to send a request to another failure domain, and its answer back. */
-    static double otherDomain(int bodyBytes) {
-        return TOKENS_PER_BYTE * (bodyBytes + ANSWER_BYTES);
+    static double crossDomain(int bodyBytes) {
+        return CROSS_DOMAIN_COST_TOKENS_PER_BYTE * (bodyBytes + TYPICAL_RESPONSE_BYTES);
     }
 
     /** Returns what it costs that the first token is expected after so many milliseconds. */
     static double lateness(double expectedMillis, long objectiveMillis) {
-        double part = expectedMillis / Math.max(1, objectiveMillis);
-        if (part <= EASY_PART) {
-            return EASY_TOKENS * part / EASY_PART;
+        double fraction = expectedMillis / Math.max(1, objectiveMillis);
+        if (fraction <= LOW_RISK_FRACTION) {
+            return LOW_RISK_COST_TOKENS * fraction / LOW_RISK_FRACTION;
         }
-        return EASY_TOKENS + (LATE_TOKENS - EASY_TOKENS) * (part - EASY_PART) / (1 - EASY_PART);
+        return LOW_RISK_COST_TOKENS + (LATE_COST_TOKENS - LOW_RISK_COST_TOKENS) * (fraction - LOW_RISK_FRACTION) / (1 - LOW_RISK_FRACTION);
     }
 
     /**
@@ -86,12 +86,12 @@
      * @param sharedTokens how many tokens others may share
      * @param cachedTokens how many of the prompt's tokens the engine keeps
      * @param heldTokens how many it has once it has fetched what others keep
-     * @param home whether all instances send there what lacks the same part: what is read then, is
+     * @param preferred whether all instances send there what lacks the same part: what is read then, is
      *     read for the first time
      */
-    static double reading(int sharedTokens, int cachedTokens, int heldTokens, boolean home) {
-        int brought = Math.max(0, sharedTokens - cachedTokens);
-        int read = Math.max(0, sharedTokens - heldTokens);
-        return home ? RETURN_TOKENS_PER_TOKEN * brought : read + COPY_TOKENS_PER_TOKEN * brought;
+    static double prefill(int sharedTokens, int cachedTokens, int heldTokens, boolean preferred) {
+        int copiedTokens = Math.max(0, sharedTokens - cachedTokens);
+        int recomputedTokens = Math.max(0, sharedTokens - heldTokens);
+        return preferred ? PREFERRED_TARGET_COPY_COST_PER_TOKEN * copiedTokens : recomputedTokens + COPY_COST_PER_TOKEN * copiedTokens;
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/PrefixIndex.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/PrefixIndex.java
@@ -51,13 +51,13 @@
     }
 
     /** Drops all that is known of a target whose lease has lapsed. */
-    public void onTargetLost(String target) {
+    public void onTargetExpired(String target) {
         mHolders.remove(target);
     }
 
     /** Adds the blocks of a request that was just sent to {@code target}. */
     public void onDispatch(String target, long incarnation, BlockChain chain) {
-        Holder holder = current(target, incarnation);
+        Holder holder = currentHolder(target, incarnation);
         if (holder == null) {
             return;
         }
@@ -73,7 +73,7 @@
      * @return whether the sequence has a gap before this event, so that a resync is needed
      */
     public boolean onEvent(String target, long incarnation, CacheEvent event) {
-        Holder holder = current(target, incarnation);
+        Holder holder = currentHolder(target, incarnation);
         if (holder == null || event.sequence() <= holder.mSequence) {
             return false;
         }
@@ -90,7 +90,7 @@
      * @param sequence the last event that the list includes
      */
     public void onResync(String target, long incarnation, long sequence, long[] keys) {
-        Holder holder = current(target, incarnation);
+        Holder holder = currentHolder(target, incarnation);
         if (holder == null || sequence < holder.mSequence) {
             return;
         }
@@ -106,7 +106,7 @@
      * Trims what the engine turned out not to have: it reported {@code cachedUnits} for a chain.
      */
     public void onCachedUnits(String target, long incarnation, BlockChain chain, int cachedUnits) {
-        Holder holder = current(target, incarnation);
+        Holder holder = currentHolder(target, incarnation);
         if (holder == null) {
             return;
         }
@@ -122,7 +122,7 @@
 
     /** Returns how many leading blocks of {@code chain} the target is thought to hold. */
     public int matchedBlocks(String target, long incarnation, BlockChain chain) {
-        Holder holder = current(target, incarnation);
+        Holder holder = currentHolder(target, incarnation);
         if (holder == null) {
             return 0;
         }
@@ -147,7 +147,7 @@
 
     /** Returns the confirmed and expected blocks of a target, for a peer's snapshot. */
     public long[] blocksOf(String target, long incarnation) {
-        Holder holder = current(target, incarnation);
+        Holder holder = currentHolder(target, incarnation);
         return holder == null ? new long[0] : holder.mBlocks.keySet().toLongArray();
     }
 
@@ -160,7 +160,7 @@
         return size;
     }
 
-    private Holder current(String target, long incarnation) {
+    private Holder currentHolder(String target, long incarnation) {
         Holder holder = mHolders.get(target);
         return holder != null && holder.mIncarnation == incarnation ? holder : null;
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/PromptHolders.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/PromptCacheLocations.java
@@ -30,7 +30,7 @@
  * <p>Each target is looked at once for each version of weights, not once for each other target: of
  * 50 targets a choice then takes a tenth of the time ({@code TargetBookSizeTest}).
  */
-final class PromptHolders {
+final class PromptCacheLocations {
     /** Less than this isn't worth a transfer: an engine reads it in a millisecond. */
     private static final int MIN_FETCHED_TOKENS = 64;
 
@@ -39,8 +39,8 @@
     private final Iterable<TargetState> mTargets;
     private final KvStoreView mStore;
     private final long mNow;
-    private final int mShared;
-    private final Map<Long, Version> mVersions = new HashMap<>();
+    private final int mSharedTokens;
+    private final Map<Long, VersionLocations> mByVersion = new HashMap<>();
 
     /**
      * Returns the holders of a prompt.
@@ -49,34 +49,34 @@
      * @param targets all that are known
      * @param store the store of kept cache
      */
-    PromptHolders(
+    PromptCacheLocations(
             ForwardRequest request, Iterable<TargetState> targets, KvStoreView store, long now) {
         mRequest = request;
         mPrompt = request.prompt().orElseThrow();
         mTargets = targets;
         mStore = store;
         mNow = now;
-        mShared = mPrompt.sharedTokens();
+        mSharedTokens = mPrompt.sharedTokens();
     }
 
     /** Returns how many tokens of the prompt others may share. */
     int sharedTokens() {
-        return mShared;
+        return mSharedTokens;
     }
 
     /** Returns the name under which a target shares prompts: by model, weights and organisation. */
     String salt(TargetState target) {
-        return version(target).mSalt;
+        return locationsFor(target).mSalt;
     }
 
     /** Returns how many tokens a target keeps, or will when it has read what was sent there. */
     int cachedTokens(TargetState target) {
-        return target.cache().cachedTokens(version(target).mKeys, mPrompt, mNow);
+        return target.cache().cachedTokens(locationsFor(target).mKeys, mPrompt, mNow);
     }
 
     /** Returns how many of the shared tokens the store surely keeps for a target. */
     int storedTokens(TargetState target) {
-        return version(target).mStored;
+        return locationsFor(target).mStoredTokens;
     }
 
     /**
@@ -85,19 +85,19 @@
      * <p>Of several engines that keep as much, one in the target's failure domain is named, where a
      * transfer takes half the time, and targets spread over those: all would fetch from the first.
      *
-     * @param cached how many tokens the target keeps itself
+     * @param cachedTokens how many tokens the target keeps itself
      */
-    Optional<KvSource> source(TargetState target, int cached) {
-        Version version = version(target);
-        int enough = cached + MIN_FETCHED_TOKENS;
-        if (version.mMost >= enough && version.mMost >= version.mStored) {
-            TargetState holder = version.holderFor(target);
-            return Optional.of(KvSource.engine(holder.address(), version.mMost));
+    Optional<KvSource> transferSource(TargetState target, int cachedTokens) {
+        VersionLocations locations = locationsFor(target);
+        int minSourceTokens = cachedTokens + MIN_FETCHED_TOKENS;
+        if (locations.mMostTokens >= minSourceTokens && locations.mMostTokens >= locations.mStoredTokens) {
+            TargetState holder = locations.holderFor(target);
+            return Optional.of(KvSource.engine(holder.address(), locations.mMostTokens));
         }
-        return cached < mShared && version.mStored >= enough
+        return cachedTokens < mSharedTokens && locations.mStoredTokens >= minSourceTokens
                 ? Optional.of(
                         KvSource.store(
-                                mStore.address(), version.mStored, mStore.excessMillis(mNow)))
+                                mStore.address(), locations.mStoredTokens, mStore.excessMillis(mNow)))
                 : Optional.empty();
     }
 
@@ -107,79 +107,79 @@
      *
      * @param heldTokens how many tokens aren't lacking
      */
-    boolean isHome(TargetState target, int heldTokens) {
-        long key = CacheKeys.affinity(mRequest.cacheScope(), mPrompt, heldTokens);
-        long first = version(target).mFirstRanks.computeIfAbsent(key, k -> firstRank(target, k));
-        return Long.compareUnsigned(first, target.rank(key)) <= 0;
+    boolean isPreferredTarget(TargetState target, int heldTokens) {
+        long key = CacheKeys.affinityKey(mRequest.cacheScope(), mPrompt, heldTokens);
+        long highest = locationsFor(target).mHighestRanks.computeIfAbsent(key, k -> highestRank(target, k));
+        return Long.compareUnsigned(highest, target.rank(key)) <= 0;
     }
 
     /** Returns the highest rank of those with a target's weights that may take the request. */
-    private long firstRank(TargetState target, long key) {
+    private long highestRank(TargetState target, long key) {
         long weights = target.weights(mPrompt.model());
-        long first = 0;
-        for (TargetState rival : mTargets) {
-            if (rival.serves(mRequest.service(), mNow)
-                    && rival.weights(mPrompt.model()) == weights
-                    && !rival.isSuspect(mNow)) {
-                long rank = rival.rank(key);
-                first = Long.compareUnsigned(rank, first) > 0 ? rank : first;
+        long highest = 0;
+        for (TargetState candidate : mTargets) {
+            if (candidate.acceptsRequestsFor(mRequest.service(), mNow)
+                    && candidate.weights(mPrompt.model()) == weights
+                    && !candidate.isUnhealthy(mNow)) {
+                long rank = candidate.rank(key);
+                highest = Long.compareUnsigned(rank, highest) > 0 ? rank : highest;
             }
         }
-        return first;
+        return highest;
     }
 
-    private Version version(TargetState target) {
-        return mVersions.computeIfAbsent(target.weights(mPrompt.model()), Version::new);
+    private VersionLocations locationsFor(TargetState target) {
+        return mByVersion.computeIfAbsent(target.weights(mPrompt.model()), VersionLocations::new);
     }
 
     /** What is kept under one version of the weights. */
-    private final class Version {
+    private final class VersionLocations {
         final String mSalt;
         final long[] mKeys;
-        final int mStored;
+        final int mStoredTokens;
 
         /** The highest rank of a target for each key that is asked for. */
-        final Map<Long, Long> mFirstRanks = new HashMap<>();
+        final Map<Long, Long> mHighestRanks = new HashMap<>();
 
         /** The targets that surely keep most shared tokens, by failure domain. */
-        private final Map<String, List<TargetState>> mHolders = new HashMap<>();
+        private final Map<String, List<TargetState>> mHoldersByDomain = new HashMap<>();
 
         private final List<TargetState> mAllHolders = new ArrayList<>();
-        private int mMost = 1;
+        private int mMostTokens = 1;
 
-        Version(long weights) {
+        VersionLocations(long weights) {
             String owner = mRequest.cacheScope();
             mSalt = mPrompt.model() + "." + weights + (owner.isEmpty() ? "" : "." + owner);
             mKeys = CacheKeys.of(mSalt, mPrompt);
-            mStored = mStore.isUsable() ? shared(mStore.cache()) : 0;
-            for (TargetState other : mTargets) {
-                if (other.service().equals(mRequest.service())
-                        && other.weights(mPrompt.model()) == weights
-                        && !other.isSuspect(mNow)) {
-                    add(other, shared(other.cache()));
+            mStoredTokens = mStore.isUsable() ? sharedTokensIn(mStore.cache()) : 0;
+            for (TargetState target : mTargets) {
+                if (target.service().equals(mRequest.service())
+                        && target.weights(mPrompt.model()) == weights
+                        && !target.isUnhealthy(mNow)) {
+                    addHolder(target, sharedTokensIn(target.cache()));
                 }
             }
         }
 
-        private int shared(CacheView cache) {
-            return Math.min(mShared, cache.fetchableTokens(mKeys, mPrompt));
+        private int sharedTokensIn(CacheView cache) {
+            return Math.min(mSharedTokens, cache.fetchableTokens(mKeys, mPrompt));
         }
 
-        private void add(TargetState other, int kept) {
-            if (kept > mMost) {
-                mMost = kept;
-                mHolders.clear();
+        private void addHolder(TargetState holder, int tokens) {
+            if (tokens > mMostTokens) {
+                mMostTokens = tokens;
+                mHoldersByDomain.clear();
                 mAllHolders.clear();
             }
-            if (kept == mMost) {
-                mAllHolders.add(other);
-                mHolders.computeIfAbsent(other.failureDomain(), d -> new ArrayList<>()).add(other);
+            if (tokens == mMostTokens) {
+                mAllHolders.add(holder);
+                mHoldersByDomain.computeIfAbsent(holder.failureDomain(), d -> new ArrayList<>()).add(holder);
             }
         }
 
         TargetState holderFor(TargetState target) {
-            List<TargetState> near = mHolders.getOrDefault(target.failureDomain(), mAllHolders);
-            return near.get(Math.floorMod(target.id().hashCode(), near.size()));
+            List<TargetState> holders = mHoldersByDomain.getOrDefault(target.failureDomain(), mAllHolders);
+            return holders.get(Math.floorMod(target.id().hashCode(), holders.size()));
         }
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/LimitShare.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/RateLimitShare.java
@@ -22,18 +22,18 @@
  * the time until the next one runs from its use. So in any span of time all together send what the
  * limit allows for that span and one request each.
  */
-final class LimitShare {
+final class RateLimitShare {
     /** A target that takes hardly anything is asked this often, to hear whether that holds. */
-    private static final double LEAST_PER_SECOND = 0.1;
+    private static final double MIN_PER_SECOND = 0.1;
 
-    private static final int MILLIS = 1000;
+    private static final int MILLIS_PER_SECOND = 1000;
 
-    private double mPeriod;
-    private double mTurnAt;
+    private double mIntervalMillis;
+    private double mNextPermitAt;
 
-    private LimitShare(double period, double turnAt) {
-        mPeriod = period;
-        mTurnAt = turnAt;
+    private RateLimitShare(double intervalMillis, double nextPermitAt) {
+        mIntervalMillis = intervalMillis;
+        mNextPermitAt = nextPermitAt;
     }
 
     /**
@@ -44,31 +44,31 @@
      * @param phase the part of the time between two turns until the first one, different at each
      *     instance
      */
-    static LimitShare of(double perSecond, int sharers, double phase, long now) {
-        double period = period(perSecond, sharers);
-        return new LimitShare(period, now + phase * period);
+    static RateLimitShare of(double perSecond, int sharers, double phase, long now) {
+        double intervalMillis = intervalMillis(perSecond, sharers);
+        return new RateLimitShare(intervalMillis, now + phase * intervalMillis);
     }
 
     /** Takes another limit, or another number of sharers: of a wait the part that is left stays. */
-    void onChange(double perSecond, int sharers, long now) {
-        double period = period(perSecond, sharers);
-        if (mTurnAt > now) {
-            mTurnAt = now + (mTurnAt - now) * period / mPeriod;
+    void onLimitChange(double perSecond, int sharers, long now) {
+        double intervalMillis = intervalMillis(perSecond, sharers);
+        if (mNextPermitAt > now) {
+            mNextPermitAt = now + (mNextPermitAt - now) * intervalMillis / mIntervalMillis;
         }
-        mPeriod = period;
+        mIntervalMillis = intervalMillis;
     }
 
     /** Returns whether a request may be sent. */
-    boolean hasTurn(long now) {
-        return now >= mTurnAt;
+    boolean hasPermit(long now) {
+        return now >= mNextPermitAt;
     }
 
     /** Uses the turn. */
-    void use(long now) {
-        mTurnAt = now + mPeriod;
+    void consumePermit(long now) {
+        mNextPermitAt = now + mIntervalMillis;
     }
 
-    private static double period(double perSecond, int sharers) {
-        return MILLIS * sharers / Math.max(LEAST_PER_SECOND, perSecond);
+    private static double intervalMillis(double perSecond, int sharers) {
+        return MILLIS_PER_SECOND * sharers / Math.max(MIN_PER_SECOND, perSecond);
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/Told.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/ReportOrigin.java
@@ -18,15 +18,15 @@
 /**
  * Where what an instance knows of a target comes from.
  *
- * @param by the control process that told of it last
- * @param heardAt when the target was heard, in milliseconds of this instance's monotonic clock
+ * @param reporter the control process that told of it last
+ * @param reportedAt when the target was heard, in milliseconds of this instance's monotonic clock
  */
-public record Told(String by, long heardAt) {
+public record ReportOrigin(String reporter, long reportedAt) {
     /** Stands for a target of which nobody has told. */
-    public static final Told NOBODY = new Told("", Long.MIN_VALUE);
+    public static final ReportOrigin UNKNOWN = new ReportOrigin("", Long.MIN_VALUE);
 
     /** Returns how old the knowledge is at {@code now}, -1 if there is none. */
     public long ageMillis(long now) {
-        return equals(NOBODY) ? -1 : now - heardAt;
+        return equals(UNKNOWN) ? -1 : now - reportedAt;
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/Router.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/Router.java
@@ -32,33 +32,33 @@
  */
 public final class Router {
     /** Costs closer than this share of the best one, or than this many milliseconds, are equal. */
-    private static final double NEAR_SHARE = 0.02;
+    private static final double TIE_SHARE = 0.02;
 
-    private static final double NEAR_MILLIS = 2;
+    private static final double TIE_MILLIS = 2;
 
     private static final int DEFAULT_UNITS_PER_MILLI = 100;
 
     /** How long a request holds its slot, as long as nothing better is known. */
-    private static final double USUAL_RUN_MILLIS = 1000;
+    private static final double DEFAULT_RUN_MILLIS = 1000;
 
-    private static final long RETRY_MILLIS = 500;
+    private static final long MIN_RETRY_AFTER_MILLIS = 500;
 
     /** What share of a line an urgent request is taken to wait for. */
     private static final double URGENT_QUEUE_SHARE = 0.1;
 
-    private final SiteWeights mWeights;
+    private final CostProfile mCostProfile;
     private final PrefixIndex mIndex;
     private final LoadTable mLoads;
 
-    private Router(SiteWeights weights, PrefixIndex index, LoadTable loads) {
-        mWeights = weights;
+    private Router(CostProfile costProfile, PrefixIndex index, LoadTable loads) {
+        mCostProfile = costProfile;
         mIndex = index;
         mLoads = loads;
     }
 
     /** Returns a router over the given views, which the owner keeps up to date. */
-    public static Router create(SiteWeights weights, PrefixIndex index, LoadTable loads) {
-        return new Router(weights, index, loads);
+    public static Router create(CostProfile costProfile, PrefixIndex index, LoadTable loads) {
+        return new Router(costProfile, index, loads);
     }
 
     /**
@@ -69,21 +69,21 @@
      *     waiting lines
      * @throws QuilldykeException {@link ResultCode#NO_TARGET} if there are none, {@link
      *     ResultCode#OVERLOADED} if each is at its limit or the wait is too long, see {@link
-     *     Shedding}
+     *     LoadShedding}
      */
     public Decision decide(List<Candidate> candidates, boolean urgent) throws QuilldykeException {
         if (candidates.isEmpty()) {
             throw QuilldykeException.notRunRetryAfter(ResultCode.NO_TARGET, "", 1000);
         }
-        List<Scored> scored = new ArrayList<>(candidates.size());
+        List<ScoredCandidate> scored = new ArrayList<>(candidates.size());
         candidates.forEach(candidate -> scored.add(score(candidate, urgent)));
         Decision decision = best(scored);
-        double share = decision.cachedUnits() / (double) Math.max(1, decision.units());
-        if (!urgent && Shedding.refuses(decision.queueMillis(), share)) {
+        double cachedShare = decision.cachedUnits() / (double) Math.max(1, decision.units());
+        if (!urgent && LoadShedding.rejects(decision.queueMillis(), cachedShare)) {
             throw QuilldykeException.notRunRetryAfter(
                     ResultCode.OVERLOADED,
                     "wait of " + decision.queueMillis() + " ms",
-                    Math.max(RETRY_MILLIS, decision.queueMillis()));
+                    Math.max(MIN_RETRY_AFTER_MILLIS, decision.queueMillis()));
         }
         return decision;
     }
@@ -100,26 +100,26 @@
             throw QuilldykeException.notRunRetryAfter(ResultCode.NO_TARGET, "", 1000);
         }
         BlockChain chain = BlockChain.ofKeys(new long[] {key}, 0);
-        List<Scored> scored = new ArrayList<>(targets.size());
+        List<ScoredCandidate> scored = new ArrayList<>(targets.size());
         for (TargetRecord target : targets) {
             int requests = mLoads.requests(target.id());
-            double share = 1000.0 * requests / target.slots();
-            boolean full = requests >= queueLimit(target);
+            double load = 1000.0 * requests / target.slots();
+            boolean full = requests >= requestLimit(target);
             Candidate candidate = new Candidate(target, chain);
-            scored.add(new Scored(candidate, 0, 0, 0, share, rank(candidate), full));
+            scored.add(new ScoredCandidate(candidate, 0, 0, 0, load, rank(candidate), full));
         }
         return best(scored);
     }
 
-    private static Decision best(List<Scored> all) throws QuilldykeException {
-        Scored best = null;
-        Scored second = null;
-        int open = 0;
-        for (Scored scored : all) {
+    private static Decision best(List<ScoredCandidate> candidates) throws QuilldykeException {
+        ScoredCandidate best = null;
+        ScoredCandidate second = null;
+        int available = 0;
+        for (ScoredCandidate scored : candidates) {
             if (scored.full()) {
                 continue;
             }
-            open++;
+            available++;
             if (best == null || isBetter(scored, best)) {
                 second = best;
                 best = scored;
@@ -130,31 +130,31 @@
         if (best == null) {
             throw QuilldykeException.notRunRetryAfter(ResultCode.OVERLOADED, "", 1000);
         }
-        return decision(best, second, open);
+        return decision(best, second, available);
     }
 
-    private Scored score(Candidate candidate, boolean urgent) {
+    private ScoredCandidate score(Candidate candidate, boolean urgent) {
         TargetRecord target = candidate.target();
         BlockChain chain = candidate.chain();
         int matched = mIndex.matchedBlocks(target.id(), target.incarnation(), chain);
-        int cached = matched * BlockChain.BLOCK_UNITS;
-        double speed = unitsPerMilli(target);
-        double queue = mLoads.queuedUnits(target.id()) / speed + slotWait(target);
+        int cachedUnits = matched * BlockChain.BLOCK_UNITS;
+        double unitsPerMilli = unitsPerMilli(target);
+        double queueMillis = mLoads.queuedUnits(target.id()) / unitsPerMilli + slotWaitMillis(target);
         int requests = mLoads.requests(target.id());
-        boolean full = requests >= queueLimit(target);
-        double prefill = (chain.units() - cached) / speed;
+        boolean full = requests >= requestLimit(target);
+        double prefillMillis = (chain.units() - cachedUnits) / unitsPerMilli;
         // An urgent request passes the line; what it delays there counts for little.
         double cost =
                 urgent
-                        ? mWeights.cost(URGENT_QUEUE_SHARE * queue, prefill, 0)
-                        : mWeights.cost(queue, prefill, mLoads.waiting(target.id()));
-        return new Scored(candidate, cached, queue, prefill, cost, rank(candidate), full);
+                        ? mCostProfile.cost(URGENT_QUEUE_SHARE * queueMillis, prefillMillis, 0)
+                        : mCostProfile.cost(queueMillis, prefillMillis, mLoads.waiting(target.id()));
+        return new ScoredCandidate(candidate, cachedUnits, queueMillis, prefillMillis, cost, rank(candidate), full);
     }
 
     /** Returns the predicted wait for a slot, from how many requests are ahead of it. */
-    private double slotWait(TargetRecord target) {
+    private double slotWaitMillis(TargetRecord target) {
         int ahead = mLoads.requests(target.id()) - target.slots() + 1;
-        return ahead <= 0 ? 0 : ahead * USUAL_RUN_MILLIS / target.slots();
+        return ahead <= 0 ? 0 : ahead * DEFAULT_RUN_MILLIS / target.slots();
     }
 
     private static double unitsPerMilli(TargetRecord target) {
@@ -162,7 +162,7 @@
         return speed > 0 ? speed : DEFAULT_UNITS_PER_MILLI;
     }
 
-    private static int queueLimit(TargetRecord target) {
+    private static int requestLimit(TargetRecord target) {
         return 4 * target.slots();
     }
 
@@ -172,47 +172,47 @@
         return Rendezvous.rank(prefix, candidate.target().id());
     }
 
-    private static boolean isBetter(Scored a, Scored b) {
+    private static boolean isBetter(ScoredCandidate a, ScoredCandidate b) {
         double least = Math.min(a.cost(), b.cost());
-        double near = Math.max(NEAR_MILLIS, NEAR_SHARE * least);
-        if (Math.abs(a.cost() - b.cost()) > near) {
+        double tolerance = Math.max(TIE_MILLIS, TIE_SHARE * least);
+        if (Math.abs(a.cost() - b.cost()) > tolerance) {
             return a.cost() < b.cost();
         }
         return Long.compareUnsigned(a.rank(), b.rank()) > 0;
     }
 
-    private static Decision decision(Scored best, Scored second, int open) {
+    private static Decision decision(ScoredCandidate best, ScoredCandidate second, int candidates) {
         return new Decision(
                 best.candidate().target(),
                 reason(best, second),
                 best.candidate().chain().units(),
-                best.cached(),
-                Math.round(best.queue()),
-                Math.round(best.queue() + best.prefill()),
+                best.cachedUnits(),
+                Math.round(best.queueMillis()),
+                Math.round(best.queueMillis() + best.prefillMillis()),
                 second == null ? "" : second.candidate().target().id(),
-                second == null ? 0 : Math.round(second.queue() + second.prefill()),
-                open);
+                second == null ? 0 : Math.round(second.queueMillis() + second.prefillMillis()),
+                candidates);
     }
 
-    private static Decision.Reason reason(Scored best, Scored second) {
+    private static Decision.Reason reason(ScoredCandidate best, ScoredCandidate second) {
         if (second == null) {
             return Decision.Reason.ONLY;
         }
-        if (best.cached() > second.cached()) {
+        if (best.cachedUnits() > second.cachedUnits()) {
             return Decision.Reason.CACHED;
         }
-        if (Math.abs(best.cost() - second.cost()) <= NEAR_MILLIS) {
+        if (Math.abs(best.cost() - second.cost()) <= TIE_MILLIS) {
             return Decision.Reason.RENDEZVOUS;
         }
         return Decision.Reason.LOAD;
     }
 
     /** A candidate with its predictions, in milliseconds. */
-    private record Scored(
+    private record ScoredCandidate(
             Candidate candidate,
-            int cached,
-            double queue,
-            double prefill,
+            int cachedUnits,
+            double queueMillis,
+            double prefillMillis,
             double cost,
             long rank,
             boolean full) {}
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/RatedTarget.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/ScoredTarget.java
@@ -20,24 +20,24 @@
  *
  * @param state the target
  * @param weights the version of the model's weights that it holds
- * @param salt the name under which it shares cached prompts
- * @param cached how many of the prompt's tokens it has once it has fetched what others keep
- * @param missing how many it must read
- * @param fetched how many of them it fetches first
- * @param source where it fetches, empty for nowhere
- * @param admission the expected milliseconds, less what {@code Admission} pardons
- * @param expected the expected milliseconds to the first event
+ * @param cacheSalt the name under which it shares cached prompts
+ * @param cachedTokens how many of the prompt's tokens it has once it has fetched what others keep
+ * @param missingTokens how many it must read
+ * @param fetchedTokens how many of them it fetches first
+ * @param cacheSource where it fetches, empty for nowhere
+ * @param admissionMillis the expected milliseconds, less what {@code Admission} pardons
+ * @param expectedMillis the expected milliseconds to the first event
  * @param cost in the measure of {@link PlacementCost}; for plain requests in tenths of a full
  *     target
  */
-record RatedTarget(
+record ScoredTarget(
         TargetState state,
         long weights,
-        String salt,
-        int cached,
-        int missing,
-        int fetched,
-        String source,
-        double admission,
-        double expected,
+        String cacheSalt,
+        int cachedTokens,
+        int missingTokens,
+        int fetchedTokens,
+        String cacheSource,
+        double admissionMillis,
+        double expectedMillis,
         double cost) {}
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/PacedChoice.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/SuccessorChoice.java
@@ -19,11 +19,11 @@
  * A target that was chosen for the rest of a stream, and how quick it is expected to be.
  *
  * @param choice the target, and what is expected of the first event
- * @param paceMillis how long each further event takes there
+ * @param eventIntervalMillis how long each further event takes there
  */
-public record PacedChoice(Choice choice, double paceMillis) {
+public record SuccessorChoice(Choice choice, double eventIntervalMillis) {
     /** Returns how long the rest of a stream of so many events would last there. */
-    public double restMillis(int events) {
-        return choice.expectedMillis() + events * paceMillis;
+    public double remainingMillis(int events) {
+        return choice.expectedMillis() + events * eventIntervalMillis;
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/TargetBook.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/TargetSelector.java
@@ -36,35 +36,35 @@
  * <p>What targets report is corrected by what this instance has sent them since, and by what came
  * back: a target that can't be reached or fails is avoided for a while, longer each time.
  */
-public final class TargetBook {
+public final class TargetSelector {
     /** A target that sent something this lately is alive, however long one answer takes. */
-    public static final long ALIVE_MILLIS = 600;
+    public static final long RESPONDING_MILLIS = 600;
 
-    private final long mOldestWeightsMillis;
+    private final long mMaxOutdatedMillis;
     private final RandomGenerator mRandom;
-    private final NamedWeights mNamed = NamedWeights.create();
+    private final NamedWeights mNamedWeights = NamedWeights.create();
     private final Map<String, TargetState> mTargets = new HashMap<>();
     private final KvStoreView mStore = new KvStoreView();
-    private final TargetRatings mRatings;
-    private InstanceRank mRank = InstanceRank.UNKNOWN;
+    private final TargetScorer mScorer;
+    private InstanceRank mInstanceRank = InstanceRank.UNKNOWN;
 
-    private TargetBook(String failureDomain, long oldestWeightsMillis, RandomGenerator random) {
-        mOldestWeightsMillis = oldestWeightsMillis;
+    private TargetSelector(String failureDomain, long maxOutdatedMillis, RandomGenerator random) {
+        mMaxOutdatedMillis = maxOutdatedMillis;
         mRandom = random;
-        mRatings = new TargetRatings(failureDomain, mNamed, mTargets, mStore, random);
+        mScorer = new TargetScorer(failureDomain, mNamedWeights, mTargets, mStore, random);
     }
 
     /**
      * Returns a book without targets.
      *
      * @param failureDomain where this instance stands
-     * @param oldestWeightsMillis for how long after a newer version was named requests may still go
+     * @param maxOutdatedMillis for how long after a newer version was named requests may still go
      *     to older weights
      * @param random spreads ties
      */
-    public static TargetBook create(
-            String failureDomain, long oldestWeightsMillis, RandomGenerator random) {
-        return new TargetBook(failureDomain, oldestWeightsMillis, random);
+    public static TargetSelector create(
+            String failureDomain, long maxOutdatedMillis, RandomGenerator random) {
+        return new TargetSelector(failureDomain, maxOutdatedMillis, random);
     }
 
     /** Takes what a target reports. */
@@ -80,20 +80,20 @@
     /**
      * Notes who told of a target last.
      *
-     * @param by the control process
-     * @param heardAt when that or another one had heard the target, as far as it said
+     * @param reporter the control process
+     * @param reportedAt when that or another one had heard the target, as far as it said
      */
-    public void onTold(String id, String by, long heardAt) {
+    public void onReportOrigin(String id, String reporter, long reportedAt) {
         TargetState state = mTargets.get(id);
         if (state != null) {
-            state.mTold = new Told(by, heardAt);
+            state.mReportOrigin = new ReportOrigin(reporter, reportedAt);
         }
     }
 
-    /** Returns who told of a target last; {@link Told#NOBODY} if it isn't known. */
-    public Told told(String id) {
+    /** Returns who told of a target last; {@link ReportOrigin#UNKNOWN} if it isn't known. */
+    public ReportOrigin reportOrigin(String id) {
         TargetState state = mTargets.get(id);
-        return state == null ? Told.NOBODY : state.mTold;
+        return state == null ? ReportOrigin.UNKNOWN : state.mReportOrigin;
     }
 
     /** Returns whether a target has said that it leaves. */
@@ -103,7 +103,7 @@
     }
 
     /** Forgets a target. */
-    public void onGone(String id) {
+    public void onRemoved(String id) {
         mTargets.remove(id);
     }
 
@@ -118,28 +118,28 @@
     }
 
     /** Takes what has changed in the cache of an engine or the store. */
-    public void onCacheNews(CacheNews news) {
-        TargetState state = mTargets.get(news.holder());
-        boolean isStore = news.holder().equals(mStore.address());
+    public void onCacheUpdate(CacheUpdate update) {
+        TargetState state = mTargets.get(update.holder());
+        boolean isStore = update.holder().equals(mStore.address());
         if (isStore) {
-            mStore.onStanding(news.up());
+            mStore.onReachable(update.reachable());
         } else if (state != null) {
-            state.onWatched(news.up());
+            state.onReachableFromControl(update.reachable());
         }
         CacheView cache = isStore ? mStore.cache() : state == null ? null : state.cache();
         if (cache == null) {
             return;
         }
-        if (news.restarted()) {
+        if (update.restarted()) {
             cache.clear();
         }
-        news.removed().forEach(cache::remove);
-        news.added().forEach(cache::add);
+        update.removed().forEach(cache::remove);
+        update.added().forEach(cache::addConfirmed);
     }
 
     /** Takes a version of a model's weights that operators named. */
     public void onNamedWeights(String model, long version, long namedAt) {
-        mNamed.onNamed(model, version, namedAt);
+        mNamedWeights.onNamed(model, version, namedAt);
     }
 
     /** Notes that a target is about to load weights, or has done so. */
@@ -157,17 +157,17 @@
     }
 
     /** Returns whether streams should go on elsewhere since they keep a target from loading. */
-    public boolean isHeldUp(String id, long now) {
+    public boolean shouldMoveStreams(String id, long now) {
         TargetState state = mTargets.get(id);
-        return state != null && state.isHeldUp(now);
+        return state != null && state.shouldMoveStreams(now);
     }
 
     /** Takes how much other instances have open at a target. */
-    public void onOthersLoad(String id, int requests, long tokens) {
+    public void onOtherInstancesLoad(String id, int requests, long tokens) {
         TargetState state = mTargets.get(id);
         if (state != null) {
-            state.mOthersRequests = requests;
-            state.mOthersTokens = tokens;
+            state.mOtherInstancesRequests = requests;
+            state.mOtherInstancesTokens = tokens;
         }
     }
 
@@ -184,24 +184,24 @@
      *
      * @return whether others should hear of it
      */
-    public boolean onLimit(NamedLimit limit, long now) {
+    public boolean onLimit(AdvertisedLimit limit, long now) {
         TargetState state = mTargets.get(limit.target());
-        return state != null && state.onLimit(limit, mRank, mRandom.nextDouble(), now);
+        return state != null && state.onLimit(limit, mInstanceRank, mRandom.nextDouble(), now);
     }
 
     /** Takes which of all instances this one is: targets' limits are shared among some. */
-    public void onRank(InstanceRank rank, long now) {
-        if (!rank.equals(mRank)) {
-            mRank = rank;
-            mTargets.values().forEach(state -> state.onRank(rank, mRandom.nextDouble(), now));
+    public void onInstanceRank(InstanceRank rank, long now) {
+        if (!rank.equals(mInstanceRank)) {
+            mInstanceRank = rank;
+            mTargets.values().forEach(state -> state.onInstanceRank(rank, mRandom.nextDouble(), now));
         }
     }
 
     /** Takes the weights that a target's answer names. */
-    public void onWeightsSeen(String id, String model, long version) {
+    public void onWeightsReported(String id, String model, long version) {
         TargetState state = mTargets.get(id);
         if (state != null) {
-            state.onWeightsSeen(model, version);
+            state.onWeightsReported(model, version);
         }
     }
 
@@ -210,83 +210,83 @@
      * for it and that cost less than a refusal would, or else of all.
      */
     public Optional<Choice> choose(ForwardRequest request, Set<String> excluded, long now) {
-        Optional<PromptHolders> holders = mRatings.holders(request, now);
-        List<RatedTarget> rated = new ArrayList<>();
+        Optional<PromptCacheLocations> locations = mScorer.cacheLocations(request, now);
+        List<ScoredTarget> scored = new ArrayList<>();
         for (TargetState state : candidates(request, excluded, now)) {
-            rated.add(mRatings.rate(state, request, holders, now));
+            scored.add(mScorer.score(state, request, locations, now));
         }
-        rated.sort(Comparator.comparingDouble(RatedTarget::cost));
-        if (rated.isEmpty()) {
+        scored.sort(Comparator.comparingDouble(ScoredTarget::cost));
+        if (scored.isEmpty()) {
             return Optional.empty();
         }
-        double dearest = rated.get(0).cost() + PlacementCost.REFUSAL_TOKENS;
-        RatedTarget best =
-                rated.stream()
-                        .filter(r -> Admission.admits(request, Math.round(r.admission())))
-                        .filter(r -> r.cost() <= dearest)
+        double maxCost = scored.get(0).cost() + PlacementCost.REFUSAL_COST_TOKENS;
+        ScoredTarget best =
+                scored.stream()
+                        .filter(r -> Admission.admits(request, Math.round(r.admissionMillis())))
+                        .filter(r -> r.cost() <= maxCost)
                         .findFirst()
-                        .orElse(rated.get(0));
-        return Optional.of(choiceOf(best, rated, holders));
+                        .orElse(scored.get(0));
+        return Optional.of(choiceOf(best, scored, locations));
     }
 
     /**
      * Returns the target that is expected to end the rest of a stream first, if one in good
      * standing can take it.
      *
-     * @param events how many events the rest has at most
+     * @param remainingEvents how many events the rest has at most
      */
-    public Optional<PacedChoice> chooseQuickest(
-            ForwardRequest request, Set<String> excluded, int events, long now) {
-        Optional<PromptHolders> holders = mRatings.holders(request, now);
-        List<RatedTarget> rated = new ArrayList<>();
+    public Optional<SuccessorChoice> chooseSuccessor(
+            ForwardRequest request, Set<String> excluded, int remainingEvents, long now) {
+        Optional<PromptCacheLocations> locations = mScorer.cacheLocations(request, now);
+        List<ScoredTarget> scored = new ArrayList<>();
         for (TargetState state : candidates(request, excluded, now)) {
-            if (!state.isSuspect(now)) {
-                rated.add(mRatings.rate(state, request, holders, now));
+            if (!state.isUnhealthy(now)) {
+                scored.add(mScorer.score(state, request, locations, now));
             }
         }
-        rated.sort(
+        scored.sort(
                 Comparator.comparingDouble(
-                        r -> r.expected() + events * mRatings.paceMillis(r.state(), now)));
-        return rated.stream()
+                        r -> r.expectedMillis() + remainingEvents * mScorer.eventIntervalMillis(r.state(), now)));
+        return scored.stream()
                 .findFirst()
                 .map(
                         best ->
-                                new PacedChoice(
-                                        choiceOf(best, rated, holders),
-                                        mRatings.paceMillis(best.state(), now)));
+                                new SuccessorChoice(
+                                        choiceOf(best, scored, locations),
+                                        mScorer.eventIntervalMillis(best.state(), now)));
     }
 
     private Choice choiceOf(
-            RatedTarget best, List<RatedTarget> rated, Optional<PromptHolders> holders) {
-        RatedTarget next = rated.stream().filter(r -> r != best).findFirst().orElse(null);
+            ScoredTarget best, List<ScoredTarget> scored, Optional<PromptCacheLocations> locations) {
+        ScoredTarget runnerUp = scored.stream().filter(r -> r != best).findFirst().orElse(null);
         return new Choice(
                 best.state().id(),
                 best.state().address(),
                 best.weights(),
-                best.salt(),
-                best.cached(),
-                best.missing(),
-                best.fetched(),
-                best.source().isEmpty()
-                        ? holders.map(h -> mRatings.spareSource(best, h)).orElse("")
-                        : best.source(),
-                holders.map(h -> mRatings.storeFor(best, h)).orElse(""),
-                Math.round(best.admission()),
-                Math.round(best.expected()),
-                next == null ? "" : next.state().id(),
-                next == null ? 0 : Math.round(next.expected()));
+                best.cacheSalt(),
+                best.cachedTokens(),
+                best.missingTokens(),
+                best.fetchedTokens(),
+                best.cacheSource().isEmpty()
+                        ? locations.map(h -> mScorer.fallbackSource(best, h)).orElse("")
+                        : best.cacheSource(),
+                locations.map(h -> mScorer.uploadStore(best, h)).orElse(""),
+                Math.round(best.admissionMillis()),
+                Math.round(best.expectedMillis()),
+                runnerUp == null ? "" : runnerUp.state().id(),
+                runnerUp == null ? 0 : Math.round(runnerUp.expectedMillis()));
     }
 
     /** Returns whether another target could take a request. */
-    public boolean hasOther(ForwardRequest request, Set<String> excluded, long now) {
+    public boolean hasCandidate(ForwardRequest request, Set<String> excluded, long now) {
         return !candidates(request, excluded, now).isEmpty();
     }
 
     /** Notes that a request is about to be sent to a target. */
-    public void onChosen(Choice choice, ForwardRequest request, long now) {
+    public void onDispatch(Choice choice, ForwardRequest request, long now) {
         TargetState state = mTargets.get(choice.target());
         if (state != null) {
-            state.onChosen(choice, request.prompt().orElse(null), now);
+            state.onDispatch(choice, request.prompt().orElse(null), now);
         }
     }
 
@@ -299,10 +299,10 @@
     }
 
     /** Notes that the prompt of a request is read, or never will be. */
-    public void onPromptRead(Choice choice) {
+    public void onPrefillEnd(Choice choice) {
         TargetState state = mTargets.get(choice.target());
         if (state != null) {
-            state.onPromptRead(choice);
+            state.onPrefillEnd(choice);
         }
     }
 
@@ -310,7 +310,7 @@
     public void onFirstEvent(Choice choice, long millis, long now) {
         if (choice.fetchedTokens() > 0 && choice.cacheSource().equals(mStore.address())) {
             // The store's link is shared by all engines: a wait says little of this one.
-            mStore.onFetched(millis, choice.expectedMillis(), now);
+            mStore.onFirstEventAfterFetch(millis, choice.expectedMillis(), now);
             return;
         }
         TargetState state = mTargets.get(choice.target());
@@ -328,38 +328,38 @@
     }
 
     /** Returns how long a target takes for an event, if streams from there were seen lately. */
-    public OptionalDouble paceMillis(String id, long now) {
+    public OptionalDouble eventIntervalMillis(String id, long now) {
         TargetState state = mTargets.get(id);
-        return state == null ? OptionalDouble.empty() : state.paceMillis(now);
+        return state == null ? OptionalDouble.empty() : state.eventIntervalMillis(now);
     }
 
     /** Notes that a target has sent something. */
-    public void onHeard(String id, long now) {
+    public void onDataReceived(String id, long now) {
         TargetState state = mTargets.get(id);
         if (state != null) {
-            state.onHeard(now);
+            state.onDataReceived(now);
         }
     }
 
     /** Returns whether a target has sent something just now, on any answer. */
-    public boolean isAlive(String id, long now) {
+    public boolean isResponding(String id, long now) {
         TargetState state = mTargets.get(id);
-        return state != null && state.wasHeard(ALIVE_MILLIS, now);
+        return state != null && state.receivedWithin(RESPONDING_MILLIS, now);
     }
 
     /** Notes that a target couldn't be reached. */
     public void onUnreachable(String id, long now) {
-        onTrouble(id, now);
+        recordFailure(id, now);
     }
 
     /** Notes that a target failed a request, or broke off its answer. */
     public void onFailure(String id, long now) {
-        onTrouble(id, now);
+        recordFailure(id, now);
     }
 
     /** Notes that a target's answer was none. */
-    public void onSpoiled(String id, long now) {
-        onTrouble(id, now);
+    public void onInvalidResponse(String id, long now) {
+        recordFailure(id, now);
     }
 
     /** Notes that a target had no room for a request. */
@@ -393,31 +393,31 @@
         return mTargets.values();
     }
 
-    private void onTrouble(String id, long now) {
+    private void recordFailure(String id, long now) {
         TargetState state = mTargets.get(id);
         if (state != null) {
-            state.onTrouble(now);
+            state.onFailure(now);
         }
     }
 
     /** Returns the targets that may take a request: those in good standing, else the others. */
     private List<TargetState> candidates(ForwardRequest request, Set<String> excluded, long now) {
-        List<TargetState> good = new ArrayList<>();
-        List<TargetState> doubtful = new ArrayList<>();
+        List<TargetState> healthy = new ArrayList<>();
+        List<TargetState> unhealthy = new ArrayList<>();
         for (TargetState state : mTargets.values()) {
-            if (!state.serves(request.service(), now)
+            if (!state.acceptsRequestsFor(request.service(), now)
                     || excluded.contains(state.id())
                     || hasForbiddenWeights(state, request, now)) {
                 continue;
             }
-            (state.isSuspect(now) ? doubtful : good).add(state);
+            (state.isUnhealthy(now) ? unhealthy : healthy).add(state);
         }
-        return good.isEmpty() ? doubtful : good;
+        return healthy.isEmpty() ? unhealthy : healthy;
     }
 
     private boolean hasForbiddenWeights(TargetState state, ForwardRequest request, long now) {
         return request.prompt()
-                .map(prompt -> mRatings.outdatedFor(state, prompt, now) > mOldestWeightsMillis)
+                .map(prompt -> mScorer.outdatedMillis(state, prompt, now) > mMaxOutdatedMillis)
                 .orElse(false);
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/TargetState.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/TargetState.java
@@ -27,54 +27,54 @@
     public static final long MAX_LOADING_MILLIS = 6000;
 
     /** Most runs that are short end within this time of the announcement of a load. */
-    private static final long SHORT_RUNS_MILLIS = 300;
+    private static final long MIN_DRAIN_MILLIS = 300;
 
     /**
      * As long as more requests than this run together, an engine brings them forward nearly as fast
      * as one alone: a step of 4 ms grows by 0.1 ms for each. The last few keep it from loading for
      * seconds and use little of it.
      */
-    private static final int LAST_RUNS = 16;
+    private static final int MAX_MOVED_RUNS = 16;
 
     /** After this long, whatever still runs keeps the engine for too long. */
-    private static final long LONGEST_DRAIN_MILLIS = 1500;
+    private static final long MAX_DRAIN_MILLIS = 1500;
 
-    private static final long FIRST_SUSPICION_MILLIS = 250;
-    private static final int MAX_DOUBLINGS = 4;
-    private static final long OVERLOADED_MILLIS = 60;
+    private static final long INITIAL_BACKOFF_MILLIS = 250;
+    private static final int MAX_COUNTED_FAILURES = 4;
+    private static final long OVERLOAD_BACKOFF_MILLIS = 60;
 
     /** A target that owes answers and sends nothing for this long is avoided. */
-    private static final long MUTE_MILLIS = 900;
+    private static final long UNRESPONSIVE_MILLIS = 900;
 
-    int mOthersRequests;
-    long mOthersTokens;
+    int mOtherInstancesRequests;
+    long mOtherInstancesTokens;
     int mFreeConnections;
-    Told mTold = Told.NOBODY;
+    ReportOrigin mReportOrigin = ReportOrigin.UNKNOWN;
     private final Map<String, Long> mWeights = new HashMap<>();
     private final CacheView mCache = new CacheView();
     private final long mIdHash;
     private final DelayTracker mDelay = new DelayTracker();
-    private final PaceTracker mPace = new PaceTracker();
+    private final EventIntervalTracker mEventIntervals = new EventIntervalTracker();
     private TargetReport mReport;
-    private int mRequests;
-    private long mTokens;
-    private int mTroubles;
-    private long mSuspectUntil = Long.MIN_VALUE;
-    private long mHeardAt = Long.MIN_VALUE;
-    private long mWaitingSince;
+    private int mOwnRequests;
+    private long mOwnTokens;
+    private int mConsecutiveFailures;
+    private long mUnhealthyUntil = Long.MIN_VALUE;
+    private long mDataReceivedAt = Long.MIN_VALUE;
+    private long mAwaitingDataSince;
     private long mLoadingUntil = Long.MIN_VALUE;
     private long mLoadingSince;
-    private boolean mAnswersWatch = true;
-    private NamedLimit mNamedLimit;
-    private NamedLimit mToldLimit;
-    private LimitShare mLimitShare;
+    private boolean mReachableFromControl = true;
+    private AdvertisedLimit mAdvertisedLimit;
+    private AdvertisedLimit mPublishedLimit;
+    private RateLimitShare mLimitShare;
 
     TargetState(TargetReport report) {
         mReport = report;
         mIdHash = Rendezvous.hash(report.id());
         mWeights.putAll(report.weights());
-        mNamedLimit = NamedLimit.unheard(report.id());
-        mToldLimit = mNamedLimit;
+        mAdvertisedLimit = AdvertisedLimit.unknown(report.id());
+        mPublishedLimit = mAdvertisedLimit;
     }
 
     /** Returns the target's id. */
@@ -94,20 +94,20 @@
 
     /** Returns how many requests this instance has open there. */
     public int ownRequests() {
-        return mRequests;
+        return mOwnRequests;
     }
 
     /** Returns how many prompt tokens this instance has sent there that aren't read yet. */
     public long ownTokens() {
-        return mTokens;
+        return mOwnTokens;
     }
 
     void onReport(TargetReport report) {
         mReport = report;
-        report.weights().forEach(this::onWeightsSeen);
+        report.weights().forEach(this::onWeightsReported);
     }
 
-    void onWeightsSeen(String model, long version) {
+    void onWeightsReported(String model, long version) {
         Long known = mWeights.get(model);
         if (known == null || version > known) {
             mWeights.put(model, version);
@@ -128,47 +128,47 @@
     }
 
     /** Returns whether the target is kept from loading weights by a few long runs. */
-    boolean isHeldUp(long now) {
-        long waited = now - mLoadingSince;
-        boolean few = openRequests() <= LAST_RUNS && waited >= SHORT_RUNS_MILLIS;
-        return isLoading(now) && (few || waited >= LONGEST_DRAIN_MILLIS);
+    boolean shouldMoveStreams(long now) {
+        long drainMillis = now - mLoadingSince;
+        boolean few = openRequests() <= MAX_MOVED_RUNS && drainMillis >= MIN_DRAIN_MILLIS;
+        return isLoading(now) && (few || drainMillis >= MAX_DRAIN_MILLIS);
     }
 
-    boolean serves(String service, long now) {
+    boolean acceptsRequestsFor(String service, long now) {
         return mReport.service().equals(service)
                 && !isLeaving()
                 && !isLoading(now)
-                && (!mNamedLimit.isInForce(now) || mLimitShare != null && mLimitShare.hasTurn(now));
+                && (!mAdvertisedLimit.isInForce(now) || mLimitShare != null && mLimitShare.hasPermit(now));
     }
 
     /**
      * Takes what the target says of its limit, if that is the newest word.
      *
      * @param rank which instance this is
-     * @param phase see {@link LimitShare#of}
+     * @param phase see {@link RateLimitShare#of}
      * @return whether others should hear of it
      */
-    boolean onLimit(NamedLimit limit, InstanceRank rank, double phase, long now) {
-        if (limit.at() < mNamedLimit.at()) {
+    boolean onLimit(AdvertisedLimit limit, InstanceRank rank, double phase, long now) {
+        if (limit.receivedAt() < mAdvertisedLimit.receivedAt()) {
             return false;
         }
-        mNamedLimit = limit;
-        onRank(rank, phase, now);
-        boolean news = limit.isNewsAfter(mToldLimit);
-        if (news) {
-            mToldLimit = limit;
+        mAdvertisedLimit = limit;
+        onInstanceRank(rank, phase, now);
+        boolean shouldPublish = limit.shouldPublishAfter(mPublishedLimit);
+        if (shouldPublish) {
+            mPublishedLimit = limit;
         }
-        return news;
+        return shouldPublish;
     }
 
     /** Takes which instance this is: it may use a target that names a limit, or may not. */
-    void onRank(InstanceRank rank, double phase, long now) {
-        if (!mNamedLimit.isSet() || !rank.isSharer(mIdHash)) {
+    void onInstanceRank(InstanceRank rank, double phase, long now) {
+        if (!mAdvertisedLimit.isSet() || !rank.isSharer(mIdHash)) {
             mLimitShare = null;
         } else if (mLimitShare == null) {
-            mLimitShare = LimitShare.of(mNamedLimit.perSecond(), rank.sharers(), phase, now);
+            mLimitShare = RateLimitShare.of(mAdvertisedLimit.perSecond(), rank.sharers(), phase, now);
         } else {
-            mLimitShare.onChange(mNamedLimit.perSecond(), rank.sharers(), now);
+            mLimitShare.onLimitChange(mAdvertisedLimit.perSecond(), rank.sharers(), now);
         }
     }
 
@@ -180,7 +180,7 @@
         return mReport.failureDomain();
     }
 
-    boolean isIn(String failureDomain) {
+    boolean isInFailureDomain(String failureDomain) {
         return mReport.failureDomain().equals(failureDomain);
     }
 
@@ -195,15 +195,15 @@
     }
 
     /** Returns whether the target has failed lately, or says nothing though it should. */
-    boolean isSuspect(long now) {
-        boolean heard = wasHeard(MUTE_MILLIS, now);
-        boolean mute = mRequests > 0 && now - mWaitingSince > MUTE_MILLIS;
-        return now < mSuspectUntil || !heard && (mute || !mAnswersWatch);
+    boolean isUnhealthy(long now) {
+        boolean receivedRecently = receivedWithin(UNRESPONSIVE_MILLIS, now);
+        boolean unresponsive = mOwnRequests > 0 && now - mAwaitingDataSince > UNRESPONSIVE_MILLIS;
+        return now < mUnhealthyUntil || !receivedRecently && (unresponsive || !mReachableFromControl);
     }
 
     /** Notes whether the target answers the process that watches its cache. */
-    void onWatched(boolean answers) {
-        mAnswersWatch = answers;
+    void onReachableFromControl(boolean reachable) {
+        mReachableFromControl = reachable;
     }
 
     long weights(String model) {
@@ -215,11 +215,11 @@
     }
 
     int openRequests() {
-        return mRequests + mOthersRequests;
+        return mOwnRequests + mOtherInstancesRequests;
     }
 
     long backlogTokens() {
-        return mTokens + mOthersTokens;
+        return mOwnTokens + mOtherInstancesTokens;
     }
 
     CacheView cache() {
@@ -232,62 +232,62 @@
     }
 
     /** Returns whether the target has sent something in the last {@code millis}. */
-    boolean wasHeard(long millis, long now) {
-        return mHeardAt != Long.MIN_VALUE && now - mHeardAt < millis;
+    boolean receivedWithin(long millis, long now) {
+        return mDataReceivedAt != Long.MIN_VALUE && now - mDataReceivedAt < millis;
     }
 
-    void onHeard(long now) {
-        mHeardAt = now;
-        mWaitingSince = now;
+    void onDataReceived(long now) {
+        mDataReceivedAt = now;
+        mAwaitingDataSince = now;
     }
 
-    void onFirstEvent(long seenMillis, long expectedMillis, long now) {
-        mDelay.onSeen(seenMillis, expectedMillis, now);
+    void onFirstEvent(long measuredMillis, long expectedMillis, long now) {
+        mDelay.onMeasured(measuredMillis, expectedMillis, now);
     }
 
     void onEvent(long sinceLastMillis, long now) {
-        mPace.onEvent(sinceLastMillis, now);
+        mEventIntervals.onEvent(sinceLastMillis, now);
     }
 
     /** Returns how long an event takes, by the streams that this instance has or had here. */
-    OptionalDouble paceMillis(long now) {
-        return mPace.millis(now);
+    OptionalDouble eventIntervalMillis(long now) {
+        return mEventIntervals.intervalMillis(now);
     }
 
-    double paceMillis(double expected, long now) {
-        return mPace.millis(expected, now);
+    double eventIntervalMillis(double expectedMillis, long now) {
+        return mEventIntervals.intervalMillis(expectedMillis, now);
     }
 
-    void onChosen(Choice choice, Prompt prompt, long now) {
-        mWaitingSince = mRequests == 0 ? now : mWaitingSince;
-        mRequests++;
-        mTokens += choice.missingTokens();
+    void onDispatch(Choice choice, Prompt prompt, long now) {
+        mAwaitingDataSince = mOwnRequests == 0 ? now : mAwaitingDataSince;
+        mOwnRequests++;
+        mOwnTokens += choice.missingTokens();
         if (mLimitShare != null) {
-            mLimitShare.use(now);
+            mLimitShare.consumePermit(now);
         }
         if (prompt != null) {
-            mCache.expect(choice.cacheSalt(), prompt, now);
+            mCache.addExpected(choice.cacheSalt(), prompt, now);
         }
     }
 
-    void onPromptRead(Choice choice) {
-        mTokens = Math.max(0, mTokens - choice.missingTokens());
+    void onPrefillEnd(Choice choice) {
+        mOwnTokens = Math.max(0, mOwnTokens - choice.missingTokens());
     }
 
     void onFinished() {
-        mRequests = Math.max(0, mRequests - 1);
+        mOwnRequests = Math.max(0, mOwnRequests - 1);
     }
 
-    void onTrouble(long now) {
-        mTroubles = Math.min(MAX_DOUBLINGS, mTroubles + 1);
-        mSuspectUntil = now + (FIRST_SUSPICION_MILLIS << mTroubles - 1);
+    void onFailure(long now) {
+        mConsecutiveFailures = Math.min(MAX_COUNTED_FAILURES, mConsecutiveFailures + 1);
+        mUnhealthyUntil = now + (INITIAL_BACKOFF_MILLIS << mConsecutiveFailures - 1);
     }
 
     void onOverloaded(long now) {
-        mSuspectUntil = Math.max(mSuspectUntil, now + OVERLOADED_MILLIS);
+        mUnhealthyUntil = Math.max(mUnhealthyUntil, now + OVERLOAD_BACKOFF_MILLIS);
     }
 
     void onSuccess() {
-        mTroubles = 0;
+        mConsecutiveFailures = 0;
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/weights/EngineFleet.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/weights/EngineFleet.java
@@ -24,23 +24,23 @@
  * The engines as the planner sees them.
  *
  * @param engines the live engines
- * @param silent the ids of those that don't answer just now: they are left alone
- * @param open how many requests each engine has open, by id; those without any may be missing
+ * @param unresponsive the ids of those that don't answer just now: they are left alone
+ * @param openRequestCounts how many requests each engine has open, by id; those without any may be missing
  */
 public record EngineFleet(
-        List<TargetReport> engines, Set<String> silent, Map<String, Integer> open) {
+        List<TargetReport> engines, Set<String> unresponsive, Map<String, Integer> openRequestCounts) {
     /** Copies all parts. */
     public EngineFleet {
         engines = List.copyOf(engines);
-        silent = Set.copyOf(silent);
-        open = Map.copyOf(open);
+        unresponsive = Set.copyOf(unresponsive);
+        openRequestCounts = Map.copyOf(openRequestCounts);
     }
 
-    boolean isSilent(TargetReport engine) {
-        return silent.contains(engine.id());
+    boolean isUnresponsive(TargetReport engine) {
+        return unresponsive.contains(engine.id());
     }
 
     int openRequests(TargetReport engine) {
-        return open.getOrDefault(engine.id(), 0);
+        return openRequestCounts.getOrDefault(engine.id(), 0);
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/weights/LoadAction.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/weights/LoadAction.java
@@ -21,13 +21,13 @@
     String target();
 
     /** Tell all instances that the engine is about to load weights, so that none sends it work. */
-    record Announce(String target) implements LoadAction {}
+    record AnnounceLoading(String target) implements LoadAction {}
 
     /** Tell all instances that the engine has done with loading. */
-    record Release(String target, String model, long version) implements LoadAction {}
+    record ReturnToService(String target, String model, long version) implements LoadAction {}
 
     /** Ask the engine for its status. */
-    record Ask(String target) implements LoadAction {}
+    record QueryStatus(String target) implements LoadAction {}
 
     /** Order the engine to load weights. */
     record Order(String target, String model, long version, long revision) implements LoadAction {}
--- a/quilldyke-core/src/main/java/org/quilldyke/weights/LoadPlanner.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/weights/LoadPlanner.java
@@ -38,10 +38,10 @@
      * More engines than this share of all slow each other's loading down: 2 of 6, 18 of 63. Engines
      * that are down don't count, since those that live are then needed the more.
      */
-    static final double AT_ONCE_SHARE = 2.0 / 7;
+    static final double MAX_CONCURRENT_SHARE = 2.0 / 7;
 
     /** From the announcement to the order: the news has reached all instances by then. */
-    static final long ANNOUNCED_MILLIS = 40;
+    static final long ANNOUNCEMENT_DELAY_MILLIS = 40;
 
     /** When an engine is asked first whether it has loaded; a load takes about this long. */
     static final long FIRST_POLL_MILLIS = 750;
@@ -53,13 +53,13 @@
     static final long RETRY_MILLIS = 500;
 
     /** An engine that hasn't been ordered and doesn't answer this often is let go. */
-    static final int MAX_UNANSWERED = 2;
+    static final int MAX_UNANSWERED_QUERIES = 2;
 
     /** An engine that hasn't loaded by then is let go and taken up again later. */
-    static final long GIVE_UP_MILLIS = 8000;
+    static final long LOAD_TIMEOUT_MILLIS = 8000;
 
     private final Map<String, Job> mJobs = new HashMap<>();
-    private final Map<String, Long> mRestUntil = new HashMap<>();
+    private final Map<String, Long> mRetryAt = new HashMap<>();
 
     private LoadPlanner() {}
 
@@ -72,7 +72,7 @@
     public List<LoadAction> stop() {
         List<LoadAction> actions = new ArrayList<>();
         mJobs.values()
-                .forEach(job -> actions.add(new LoadAction.Release(job.mTarget, job.mModel, 0)));
+                .forEach(job -> actions.add(new LoadAction.ReturnToService(job.mTarget, job.mModel, 0)));
         mJobs.clear();
         return actions;
     }
@@ -87,14 +87,14 @@
     public List<LoadAction> tick(EngineFleet fleet, Map<String, Long> wanted, long now) {
         List<TargetReport> engines = fleet.engines();
         List<LoadAction> actions = new ArrayList<>();
-        Set<String> alive = new HashSet<>();
-        engines.forEach(engine -> alive.add(engine.id()));
-        mJobs.values().removeIf(job -> !alive.contains(job.mTarget));
-        engines.forEach(engine -> endIfLoaded(engine, actions));
+        Set<String> liveIds = new HashSet<>();
+        engines.forEach(engine -> liveIds.add(engine.id()));
+        mJobs.values().removeIf(job -> !liveIds.contains(job.mTarget));
+        engines.forEach(engine -> finishIfLoaded(engine, actions));
         for (Job job : List.copyOf(mJobs.values())) {
             advance(job, actions, now);
         }
-        wanted.forEach((model, version) -> start(fleet, model, version, actions, now));
+        wanted.forEach((model, version) -> startLoads(fleet, model, version, actions, now));
         return actions;
     }
 
@@ -104,15 +104,15 @@
         if (job == null) {
             return List.of();
         }
-        if (!Incarnation.ofKey(target).mayHaveSaid(status.born())) {
-            return onNoStatus(target, now);
+        if (!Incarnation.ofKey(target).mayHaveSaid(status.startedAtMillis())) {
+            return onStatusUnavailable(target, now);
         }
-        job.mAsking = false;
-        job.mUnanswered = 0;
-        long held = status.weights().getOrDefault(job.mModel, 0L);
-        if (!status.busy() && held >= job.mVersion) {
+        job.mStatusPending = false;
+        job.mUnansweredQueries = 0;
+        long loadedVersion = status.weights().getOrDefault(job.mModel, 0L);
+        if (!status.busy() && loadedVersion >= job.mVersion) {
             mJobs.remove(target);
-            return List.of(new LoadAction.Release(target, job.mModel, held));
+            return List.of(new LoadAction.ReturnToService(target, job.mModel, loadedVersion));
         }
         if (status.busy() || job.mOrdered && status.revision() > job.mRevision) {
             // Under way, by this order or an earlier one that was thought lost.
@@ -131,20 +131,20 @@
     }
 
     /** Notes that an engine didn't tell its status. */
-    public List<LoadAction> onNoStatus(String target, long now) {
+    public List<LoadAction> onStatusUnavailable(String target, long now) {
         Job job = mJobs.get(target);
         if (job == null) {
             return List.of();
         }
-        job.mAsking = false;
+        job.mStatusPending = false;
         job.mDueAt = now + RETRY_MILLIS;
-        job.mUnanswered++;
-        boolean goOn = job.mOrdered || job.mUnanswered < MAX_UNANSWERED;
-        return goOn ? List.of() : List.of(letGo(job, now));
+        job.mUnansweredQueries++;
+        boolean keepWaiting = job.mOrdered || job.mUnansweredQueries < MAX_UNANSWERED_QUERIES;
+        return keepWaiting ? List.of() : List.of(abandon(job, now));
     }
 
     /** Takes an engine's answer to an order. */
-    public List<LoadAction> onOrdered(String target, OrderOutcome outcome, long now) {
+    public List<LoadAction> onOrderOutcome(String target, OrderOutcome outcome, long now) {
         Job job = mJobs.get(target);
         if (job == null) {
             return List.of();
@@ -152,13 +152,13 @@
         switch (outcome) {
             case HOLDS -> {
                 mJobs.remove(target);
-                return List.of(new LoadAction.Release(target, job.mModel, job.mVersion));
+                return List.of(new LoadAction.ReturnToService(target, job.mModel, job.mVersion));
             }
             case CONFLICT, REFUSED -> {
                 job.mOrdered = false;
                 job.mDueAt = now + POLL_MILLIS;
             }
-            case UNKNOWN -> job.mDueAt = now + ANNOUNCED_MILLIS;
+            case UNKNOWN -> job.mDueAt = now + ANNOUNCEMENT_DELAY_MILLIS;
             default -> {
                 // Accepted: its status tells when it is done.
             }
@@ -167,35 +167,35 @@
     }
 
     /** An engine's own report may be quicker than the next question. */
-    private void endIfLoaded(TargetReport engine, List<LoadAction> actions) {
+    private void finishIfLoaded(TargetReport engine, List<LoadAction> actions) {
         Job job = mJobs.get(engine.id());
         if (job == null) {
             return;
         }
-        long held = engine.weights().getOrDefault(job.mModel, 0L);
-        if (held >= job.mVersion) {
+        long loadedVersion = engine.weights().getOrDefault(job.mModel, 0L);
+        if (loadedVersion >= job.mVersion) {
             mJobs.remove(engine.id());
-            actions.add(new LoadAction.Release(engine.id(), job.mModel, held));
+            actions.add(new LoadAction.ReturnToService(engine.id(), job.mModel, loadedVersion));
         }
     }
 
-    private void start(
+    private void startLoads(
             EngineFleet fleet, String model, long version, List<LoadAction> actions, long now) {
-        List<TargetReport> holders = inOrder(fleet, model);
-        long live = holders.stream().filter(engine -> !fleet.isSilent(engine)).count();
-        long atOnce = Math.max(1, Math.round(live * AT_ONCE_SHARE));
+        List<TargetReport> engines = byPriority(fleet, model);
+        long live = engines.stream().filter(engine -> !fleet.isUnresponsive(engine)).count();
+        long maxConcurrent = Math.max(1, Math.round(live * MAX_CONCURRENT_SHARE));
         long loading = mJobs.values().stream().filter(job -> job.mModel.equals(model)).count();
-        for (TargetReport engine : holders) {
+        for (TargetReport engine : engines) {
             boolean due =
                     engine.weights().get(model) < version
                             && !engine.leaving()
-                            && !fleet.isSilent(engine)
+                            && !fleet.isUnresponsive(engine)
                             && !mJobs.containsKey(engine.id())
-                            && now >= mRestUntil.getOrDefault(engine.id(), Long.MIN_VALUE);
-            if (due && loading < atOnce) {
+                            && now >= mRetryAt.getOrDefault(engine.id(), Long.MIN_VALUE);
+            if (due && loading < maxConcurrent) {
                 loading++;
                 mJobs.put(engine.id(), new Job(engine.id(), model, version, now));
-                actions.add(new LoadAction.Announce(engine.id()));
+                actions.add(new LoadAction.AnnounceLoading(engine.id()));
             }
         }
     }
@@ -204,7 +204,7 @@
      * Returns the engines that hold a model. The oldest weights go first, so that no engine is
      * passed over by version after version; of these the engine with the least to finish.
      */
-    private static List<TargetReport> inOrder(EngineFleet fleet, String model) {
+    private static List<TargetReport> byPriority(EngineFleet fleet, String model) {
         return fleet.engines().stream()
                 .filter(engine -> engine.weights().containsKey(model))
                 .sorted(
@@ -214,18 +214,18 @@
     }
 
     private void advance(Job job, List<LoadAction> actions, long now) {
-        if (now - job.mStartedAt > GIVE_UP_MILLIS) {
-            actions.add(letGo(job, now));
-        } else if (!job.mAsking && now >= job.mDueAt) {
-            job.mAsking = true;
-            actions.add(new LoadAction.Ask(job.mTarget));
+        if (now - job.mStartedAt > LOAD_TIMEOUT_MILLIS) {
+            actions.add(abandon(job, now));
+        } else if (!job.mStatusPending && now >= job.mDueAt) {
+            job.mStatusPending = true;
+            actions.add(new LoadAction.QueryStatus(job.mTarget));
         }
     }
 
-    private LoadAction letGo(Job job, long now) {
+    private LoadAction abandon(Job job, long now) {
         mJobs.remove(job.mTarget);
-        mRestUntil.put(job.mTarget, now + RETRY_MILLIS);
-        return new LoadAction.Release(job.mTarget, job.mModel, 0);
+        mRetryAt.put(job.mTarget, now + RETRY_MILLIS);
+        return new LoadAction.ReturnToService(job.mTarget, job.mModel, 0);
     }
 
     /** One engine on its way to new weights. */
@@ -235,18 +235,18 @@
         final long mVersion;
         final long mStartedAt;
         long mDueAt;
-        boolean mAsking;
+        boolean mStatusPending;
         boolean mOrdered;
         long mOrderedAt;
         long mRevision;
-        int mUnanswered;
+        int mUnansweredQueries;
 
         Job(String target, String model, long version, long now) {
             mTarget = target;
             mModel = model;
             mVersion = version;
             mStartedAt = now;
-            mDueAt = now + ANNOUNCED_MILLIS;
+            mDueAt = now + ANNOUNCEMENT_DELAY_MILLIS;
         }
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/weights/OrderOutcome.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/weights/OrderOutcome.java
@@ -34,10 +34,10 @@
      * Returns what this answer says of the engine that was ordered: nothing if another incarnation
      * gave it.
      *
-     * @param ordered the key of the incarnation that was ordered
-     * @param answeredBorn the birth that the answer tells, {@link Incarnation#UNTOLD} if none
+     * @param orderedKey the key of the incarnation that was ordered
+     * @param startedAtMillis the birth that the answer tells, {@link Incarnation#UNTOLD} if none
      */
-    public OrderOutcome of(String ordered, long answeredBorn) {
-        return Incarnation.ofKey(ordered).mayHaveSaid(answeredBorn) ? this : UNKNOWN;
+    public OrderOutcome ifFrom(String orderedKey, long startedAtMillis) {
+        return Incarnation.ofKey(orderedKey).mayHaveSaid(startedAtMillis) ? this : UNKNOWN;
     }
 }
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/ForwardingSimulation.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/ForwardingSimulation.java
@@ -30,7 +30,7 @@
 import org.quilldyke.engine.TargetReport;
 import org.quilldyke.manifest.RequestKind;
 import org.quilldyke.manifest.Route;
-import org.quilldyke.routing.TargetBook;
+import org.quilldyke.routing.TargetSelector;
 import org.quilldyke.routing.TargetState;
 
 /**
@@ -53,7 +53,7 @@
 
     private final StringBuilder mTrace = new StringBuilder();
     private final SplittableRandom mRandom;
-    private final TargetBook mTargetTable;
+    private final TargetSelector mTargetTable;
     private final ServiceRetryBudget mRetryBudget;
     private final ShutdownAdmission mShutdown = ShutdownAdmission.create();
     private final RequestKind mKind;
@@ -82,7 +82,7 @@
 
     ForwardingSimulation(long seed) {
         mRandom = new SplittableRandom(seed);
-        mTargetTable = TargetBook.create("z", 7500, new SplittableRandom(seed));
+        mTargetTable = TargetSelector.create("z", 7500, new SplittableRandom(seed));
         mRetryBudget =
                 ServiceRetryBudget.create(
                         0, mRandom.nextBoolean() ? 6 : 2 * UNLIMITED_RETRIES, 1_000_000, 1);
@@ -163,12 +163,12 @@
         } else if (kind == 1) {
             int index = mRandom.nextInt(mTargetCount);
             log("gone t" + index);
-            mTargetTable.onGone("t" + index);
+            mTargetTable.onRemoved("t" + index);
         } else if (kind == 2) {
             mTargetTable.onLoading(
                     "t" + mRandom.nextInt(mTargetCount), mRandom.nextBoolean(), mNow);
         } else if (kind == 3) {
-            mTargetTable.onHeard("t" + mRandom.nextInt(mTargetCount), mNow);
+            mTargetTable.onDataReceived("t" + mRandom.nextInt(mTargetCount), mNow);
         } else if (kind == 4) {
             mRetriesOfOthers += mRetryBudget.tryAcquire("s", mNow) ? 1 : 0;
         } else if (kind == 5 && mRandom.nextInt(6) == 0) {
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/ForwardingTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/ForwardingTest.java
@@ -28,7 +28,7 @@
 import org.quilldyke.engine.TargetReport;
 import org.quilldyke.manifest.RequestKind;
 import org.quilldyke.manifest.Route;
-import org.quilldyke.routing.TargetBook;
+import org.quilldyke.routing.TargetSelector;
 
 /** Whether the caller is told the truth, and nothing runs more often than it may. */
 class ForwardingTest {
@@ -39,7 +39,7 @@
     private static final AnswerHead FAILED = new AnswerHead(500, false, false, true, false);
     private static final AnswerHead UNSIGNED = new AnswerHead(200, false, false, false, false);
 
-    private final TargetBook mTargets = TargetBook.create("z", 7500, new SplittableRandom(1));
+    private final TargetSelector mTargets = TargetSelector.create("z", 7500, new SplittableRandom(1));
     private final ShutdownAdmission mShutdown = ShutdownAdmission.create();
     private final SuspectRequests mSuspects = SuspectRequests.create();
     private ServiceRetryBudget mRetryBudget = ServiceRetryBudget.create(0.2, 100, 10_000, 1);
@@ -258,7 +258,7 @@
 
     @Test
     void requestWithoutTargetWaitsBrieflyAndIsRefused() {
-        List.of("a", "b", "c").forEach(mTargets::onGone);
+        List.of("a", "b", "c").forEach(mTargets::onRemoved);
         Forwarding forwarding = forwarding(RequestKind.NON_IDEMPOTENT, 1);
 
         assertThat(forwarding.start(0)).isInstanceOf(Step.Wait.class);
@@ -273,7 +273,7 @@
         String target = send(forwarding.start(0), forwarding);
         assertThat(forwarding.mayReplaceTarget(900)).isTrue();
 
-        mTargets.onHeard(target, 800);
+        mTargets.onDataReceived(target, 800);
 
         assertThat(forwarding.mayReplaceTarget(900)).isFalse();
     }
@@ -325,7 +325,7 @@
         String only = send(singleTarget.start(0), singleTarget);
         singleTarget.onAnswerHead(STREAM, 10);
         singleTarget.onEventRelayed(4);
-        List.of("a", "b", "c").stream().filter(id -> !id.equals(only)).forEach(mTargets::onGone);
+        List.of("a", "b", "c").stream().filter(id -> !id.equals(only)).forEach(mTargets::onRemoved);
         assertThat(singleTarget.onLoadPending(20)).isEqualTo(Optional.empty());
     }
 
@@ -349,7 +349,7 @@
     @Test
     void streamStaysIfAllOthersWouldStartTooLate() {
         Forwarding stays = startedStream();
-        List.of("a", "b", "c").forEach(id -> mTargets.onOthersLoad(id, 1000, 0));
+        List.of("a", "b", "c").forEach(id -> mTargets.onOtherInstancesLoad(id, 1000, 0));
 
         assertThat(stays.onLoadPending(20)).isEqualTo(Optional.empty());
         assertThat(stays.onTargetUnresponsive(900)).isNotEqualTo(Optional.empty());
@@ -414,7 +414,7 @@
     @Test
     void brokenStreamIsAbortedIfNoTargetIsFoundInTime() {
         Forwarding stream = startedStream();
-        List.of("a", "b", "c").forEach(mTargets::onGone);
+        List.of("a", "b", "c").forEach(mTargets::onRemoved);
 
         Step step = stream.onAnswerFailed(ResultCode.TARGET_LOST, 30);
         while (step instanceof Step.Wait wait) {
@@ -447,7 +447,7 @@
 
         Forwarding singleTarget = forwarding(RequestKind.STREAMING, 2);
         String only = send(singleTarget.start(0), singleTarget);
-        List.of("a", "b", "c").stream().filter(id -> !id.equals(only)).forEach(mTargets::onGone);
+        List.of("a", "b", "c").stream().filter(id -> !id.equals(only)).forEach(mTargets::onRemoved);
         assertThat(singleTarget.mayReplaceTarget(900)).isFalse();
     }
 
@@ -486,7 +486,7 @@
     /** The target that failed was counted as one that might do better, and its answer was lost. */
     @Test
     void errorOfTheOnlyTargetIsRelayed() {
-        List.of("b", "c").forEach(mTargets::onGone);
+        List.of("b", "c").forEach(mTargets::onRemoved);
         Forwarding forwarding = forwarding(RequestKind.IDEMPOTENT, 3);
         send(forwarding.start(0), forwarding);
 
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/ShutdownMigrationTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/ShutdownMigrationTest.java
@@ -27,7 +27,7 @@
 import org.quilldyke.engine.TargetReport;
 import org.quilldyke.manifest.RequestKind;
 import org.quilldyke.manifest.Route;
-import org.quilldyke.routing.TargetBook;
+import org.quilldyke.routing.TargetSelector;
 
 /**
  * Where streams go on that would outlast their instance: it is told to end at 0 and ends at 7.8 s,
@@ -40,7 +40,7 @@
     private static final AnswerHead STREAM = new AnswerHead(200, false, false, true, true);
     private static final AnswerHead REFUSED = new AnswerHead(503, true, false, false, false);
 
-    private final TargetBook mTargets = TargetBook.create("z", 7500, new SplittableRandom(1));
+    private final TargetSelector mTargets = TargetSelector.create("z", 7500, new SplittableRandom(1));
     private final ShutdownAdmission mShutdown = ShutdownAdmission.create();
     private ServiceRetryBudget mRetryBudget = ServiceRetryBudget.create(0.2, 100, 10_000, 1);
     private boolean mResumable = true;
@@ -118,7 +118,7 @@
     void targetWithTooLongAQueueIsNotAsked() {
         Forwarding forwarding = startSlowStream();
         addTarget("quick", 10);
-        mTargets.onOthersLoad("quick", 2, 60_000);
+        mTargets.onOtherInstancesLoad("quick", 2, 60_000);
         mShutdown.onShutdown(SHUTDOWN_DEADLINE);
 
         for (long now = 0; now < SHUTDOWN_DEADLINE; now += 100) {
@@ -169,7 +169,7 @@
     void streamStaysAsLongAsItsPaceIsUnknown() {
         addTarget("slow", 60);
         Forwarding forwarding = startStream();
-        mTargets.onGone("slow");
+        mTargets.onRemoved("slow");
         addTarget("quick", 20);
         mShutdown.onShutdown(SHUTDOWN_DEADLINE);
 
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/StreamForecastTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/StreamForecastTest.java
@@ -19,7 +19,7 @@
 
 import org.junit.jupiter.api.Test;
 import org.quilldyke.routing.Choice;
-import org.quilldyke.routing.PacedChoice;
+import org.quilldyke.routing.SuccessorChoice;
 
 /** When a stream with up to 211 events leaves an engine, by an instance that ends at 7.8 s. */
 class StreamForecastTest {
@@ -52,7 +52,7 @@
             while (!forecastAt(now).mustMove(other(otherPace), DEADLINE, now)) {
                 now += 100;
             }
-            double end = now + other(otherPace).restMillis(forecastAt(now).eventsLeft());
+            double end = now + other(otherPace).remainingMillis(forecastAt(now).eventsLeft());
             assertThat(end).isAtMost(DEADLINE - StreamForecast.HANDOVER_MARGIN_MILLIS + 100.0);
         }
     }
@@ -76,7 +76,7 @@
         for (long now = 0; now < DEADLINE; now += 100) {
             int left = (int) (211 - (now + age) / pace);
             if (StreamForecast.of(left, pace).mustMove(other(otherPace), DEADLINE, now)) {
-                return now + other(otherPace).restMillis(left);
+                return now + other(otherPace).remainingMillis(left);
             }
         }
         return 211.0 * pace - age;
@@ -111,8 +111,8 @@
         return StreamForecast.of((int) (190 - now / 70), 70);
     }
 
-    private static PacedChoice other(double paceMillis) {
-        return new PacedChoice(
+    private static SuccessorChoice other(double paceMillis) {
+        return new SuccessorChoice(
                 new Choice("b", "b:1", 1, "", 0, 0, 0, "", "", 0, FIRST_EVENT_MILLIS, "", 0),
                 paceMillis);
     }
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/SuccessorTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/SuccessorTest.java
@@ -28,7 +28,7 @@
 import org.quilldyke.engine.TargetReport;
 import org.quilldyke.manifest.RequestKind;
 import org.quilldyke.manifest.Route;
-import org.quilldyke.routing.TargetBook;
+import org.quilldyke.routing.TargetSelector;
 
 /** What may be asked beside a run, and what becomes of both. */
 class SuccessorTest {
@@ -36,7 +36,7 @@
     private static final AnswerHead REFUSED = new AnswerHead(503, true, false, false, false);
     private static final int TIMEOUT_MILLIS = 15_000;
 
-    private final TargetBook mTargets = TargetBook.create("z", 7500, new SplittableRandom(1));
+    private final TargetSelector mTargets = TargetSelector.create("z", 7500, new SplittableRandom(1));
     private final ServiceRetryBudget mRetryBudget = ServiceRetryBudget.create(0, 1000, 100_000, 1);
 
     @BeforeEach
--- a/quilldyke-core/src/test/java/org/quilldyke/routing/NamedWeightsTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/routing/NamedWeightsTest.java
@@ -29,9 +29,9 @@
         named.onNamed("m", 2, 8000);
 
         assertThat(named.newest("m")).isEqualTo(3);
-        assertThat(named.outdatedFor("m", 1, 9000)).isEqualTo(8000);
-        assertThat(named.outdatedFor("m", 2, 9000)).isEqualTo(4000);
-        assertThat(named.outdatedFor("m", 3, 9000)).isEqualTo(0);
-        assertThat(named.outdatedFor("other", 1, 9000)).isEqualTo(0);
+        assertThat(named.outdatedMillis("m", 1, 9000)).isEqualTo(8000);
+        assertThat(named.outdatedMillis("m", 2, 9000)).isEqualTo(4000);
+        assertThat(named.outdatedMillis("m", 3, 9000)).isEqualTo(0);
+        assertThat(named.outdatedMillis("other", 1, 9000)).isEqualTo(0);
     }
 }
--- a/quilldyke-core/src/test/java/org/quilldyke/routing/PrefixIndexTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/routing/PrefixIndexTest.java
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void newIncarnationVoidsTheOldOnesBlocks() {
+    void newIncarnationDropsBlocksOfTheOldOne() {
         mIndex.onIncarnation("e1", 7);
         mIndex.onDispatch("e1", 7, CHAIN);
 
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void gapIsReportedOnceAndMendedByResync() {
+    void gapIsReportedOnceAndClearedByResync() {
         mIndex.onIncarnation("e1", 1);
 
         assertThat(mIndex.onEvent("e1", 1, stored(1, 10))).isFalse();
@@ -76,7 +76,7 @@
         Random random = new Random(seed);
         PrefixIndex index = PrefixIndex.create();
         index.onIncarnation("e", 1);
-        Set<Long> truth = new HashSet<>();
+        Set<Long> expected = new HashSet<>();
         List<CacheEvent> sent = new ArrayList<>();
         for (int i = 1; i <= 60; i++) {
             long key = random.nextInt(20);
@@ -87,9 +87,9 @@
                             store ? CacheEvent.Kind.STORED : CacheEvent.Kind.REMOVED,
                             LongList.of(key));
             if (store) {
-                truth.add(key);
+                expected.add(key);
             } else {
-                truth.remove(key);
+                expected.remove(key);
             }
             sent.add(event);
             index.onEvent("e", 1, event);
@@ -100,19 +100,19 @@
         for (long key : index.blocksOf("e", 1)) {
             known.add(key);
         }
-        assertThat(known).isEqualTo(truth);
+        assertThat(known).isEqualTo(expected);
     }
 
     @Property(tries = 200, seed = "6")
-    void lostEventsAreNoticedAndAResyncRestoresTheTruth(@ForAll long seed) {
+    void lostEventsAreDetectedAndResyncRestoresTheIndex(@ForAll long seed) {
         Random random = new Random(seed);
         PrefixIndex index = PrefixIndex.create();
         index.onIncarnation("e", 1);
-        Set<Long> truth = new HashSet<>();
+        Set<Long> expected = new HashSet<>();
         boolean lost = false;
         for (int i = 1; i <= 60; i++) {
             long key = random.nextInt(20);
-            truth.add(key);
+            expected.add(key);
             if (random.nextInt(10) == 0) {
                 lost = true;
                 continue;
@@ -120,10 +120,10 @@
             boolean gap = index.onEvent("e", 1, stored(i, key));
             assertThat(gap).isEqualTo(lost);
             if (gap) {
-                index.onResync("e", 1, i, truth.stream().mapToLong(Long::longValue).toArray());
+                index.onResync("e", 1, i, expected.stream().mapToLong(Long::longValue).toArray());
                 lost = false;
             }
-            assertThat(index.blocksOf("e", 1)).hasLength(truth.size());
+            assertThat(index.blocksOf("e", 1)).hasLength(expected.size());
         }
     }
 
--- a/quilldyke-core/src/test/java/org/quilldyke/routing/LimitShareTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/routing/RateLimitShareTest.java
@@ -25,53 +25,53 @@
 import org.junit.jupiter.api.Test;
 
 /** What all instances together send to a target that names a limit. */
-class LimitShareTest {
+class RateLimitShareTest {
     private static final long SPAN_MILLIS = 4000;
     private static final long STEP_MILLIS = 20;
-    private static final long PLAY_MILLIS = 120_000;
+    private static final long RUN_MILLIS = 120_000;
 
     /** Beyond one and a half times the limit, so many requests are a target's own slack. */
-    private static final int SLACK = 5;
+    private static final int MAX_SHARERS = 5;
 
     @Test
-    void turnsAreThoseOfTheShare() {
-        LimitShare share = LimitShare.of(2, 4, 0.5, 0);
+    void permitsFollowTheSharedRate() {
+        RateLimitShare share = RateLimitShare.of(2, 4, 0.5, 0);
 
-        assertThat(share.hasTurn(999)).isFalse();
-        assertThat(share.hasTurn(1000)).isTrue();
-        share.use(1300);
-        assertThat(share.hasTurn(3299)).isFalse();
-        assertThat(share.hasTurn(3300)).isTrue();
+        assertThat(share.hasPermit(999)).isFalse();
+        assertThat(share.hasPermit(1000)).isTrue();
+        share.consumePermit(1300);
+        assertThat(share.hasPermit(3299)).isFalse();
+        assertThat(share.hasPermit(3300)).isTrue();
     }
 
     @Test
-    void turnsAreNotSavedUp() {
-        LimitShare share = LimitShare.of(2, 4, 0.5, 0);
+    void permitsDoNotAccumulate() {
+        RateLimitShare share = RateLimitShare.of(2, 4, 0.5, 0);
 
-        assertThat(share.hasTurn(100_000)).isTrue();
-        share.use(100_000);
-        assertThat(share.hasTurn(101_999)).isFalse();
+        assertThat(share.hasPermit(100_000)).isTrue();
+        share.consumePermit(100_000);
+        assertThat(share.hasPermit(101_999)).isFalse();
     }
 
     @Test
-    void changeKeepsThePartOfTheWaitThatIsLeft() {
-        LimitShare share = LimitShare.of(1, 10, 1, 0);
-        share.onChange(10, 10, 5000);
+    void limitChangeScalesTheRemainingWait() {
+        RateLimitShare share = RateLimitShare.of(1, 10, 1, 0);
+        share.onLimitChange(10, 10, 5000);
 
-        assertThat(share.hasTurn(5499)).isFalse();
-        assertThat(share.hasTurn(5500)).isTrue();
+        assertThat(share.hasPermit(5499)).isFalse();
+        assertThat(share.hasPermit(5500)).isTrue();
     }
 
     @Test
-    void targetThatTakesNothingIsAskedNowAndThen() {
-        LimitShare share = LimitShare.of(0, 1, 1, 0);
+    void targetWithZeroLimitIsProbedPeriodically() {
+        RateLimitShare share = RateLimitShare.of(0, 1, 1, 0);
 
-        assertThat(share.hasTurn(9999)).isFalse();
-        assertThat(share.hasTurn(10_000)).isTrue();
+        assertThat(share.hasPermit(9999)).isFalse();
+        assertThat(share.hasPermit(10_000)).isTrue();
     }
 
     @Test
-    void someInstancesShareATargetAndOthersAnotherOne() {
+    void eachTargetIsSharedByAnotherSetOfInstances() {
         for (int instances : List.of(1, 3, 5, 11, 87, 300)) {
             Set<Integer> users = new HashSet<>();
             for (long target = -500; target < 500; target++) {
@@ -82,7 +82,7 @@
                         users.add(rank);
                     }
                 }
-                assertThat(sharers).isEqualTo(Math.min(SLACK, instances));
+                assertThat(sharers).isEqualTo(Math.min(MAX_SHARERS, instances));
             }
             assertThat(users).hasSize(instances);
         }
@@ -90,40 +90,40 @@
     }
 
     @Test
-    void sumOverAllSharersKeepsTheLimitWheneverTheyAsk() {
-        for (int sharers = 1; sharers <= SLACK; sharers++) {
+    void sharersTogetherStayWithinTheLimit() {
+        for (int sharers = 1; sharers <= MAX_SHARERS; sharers++) {
             for (double limit : List.of(0.0, 0.3, 1.2, 1.9, 5.0, 40.0)) {
                 for (int seed = 1; seed <= 20; seed++) {
-                    int allowed = (int) (1.5 * limit * SPAN_MILLIS / 1000) + SLACK;
-                    assertThat(mostInSpan(sharers, limit, 0, seed)).isAtMost(allowed);
-                    assertThat(mostInSpan(sharers, limit, PLAY_MILLIS / 2, seed)).isAtMost(allowed);
+                    int allowed = (int) (1.5 * limit * SPAN_MILLIS / 1000) + MAX_SHARERS;
+                    assertThat(maxSentInSpan(sharers, limit, 0, seed)).isAtMost(allowed);
+                    assertThat(maxSentInSpan(sharers, limit, RUN_MILLIS / 2, seed)).isAtMost(allowed);
                 }
             }
         }
     }
 
     /** Returns the most that is sent in a span if all ask all the time from a time on. */
-    private static int mostInSpan(int sharers, double limit, long from, int seed) {
+    private static int maxSentInSpan(int sharers, double limit, long startMillis, int seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<LimitShare> shares = new ArrayList<>();
+        List<RateLimitShare> shares = new ArrayList<>();
         for (int i = 0; i < sharers; i++) {
-            shares.add(LimitShare.of(limit, sharers, random.nextDouble(), 0));
+            shares.add(RateLimitShare.of(limit, sharers, random.nextDouble(), 0));
         }
         List<Long> sent = new ArrayList<>();
         int first = 0;
-        int most = 0;
-        for (long now = from; now < PLAY_MILLIS; now += STEP_MILLIS) {
-            for (LimitShare share : shares) {
-                if (share.hasTurn(now)) {
-                    share.use(now);
+        int max = 0;
+        for (long now = startMillis; now < RUN_MILLIS; now += STEP_MILLIS) {
+            for (RateLimitShare share : shares) {
+                if (share.hasPermit(now)) {
+                    share.consumePermit(now);
                     sent.add(now);
                 }
             }
             while (first < sent.size() && sent.get(first) <= now - SPAN_MILLIS) {
                 first++;
             }
-            most = Math.max(most, sent.size() - first);
+            max = Math.max(max, sent.size() - first);
         }
-        return most;
+        return max;
     }
 }
--- a/quilldyke-core/src/test/java/org/quilldyke/routing/RouterTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/routing/RouterTest.java
@@ -33,10 +33,10 @@
 
     private final PrefixIndex mIndex = PrefixIndex.create();
     private final LoadTable mLoads = LoadTable.create(100);
-    private final Router mRouter = Router.create(SiteWeights.LATENCY, mIndex, mLoads);
+    private final Router mRouter = Router.create(CostProfile.LATENCY, mIndex, mLoads);
 
     @Test
-    void cachedPrefixWins() throws QuilldykeException {
+    void targetWithCachedPrefixIsChosen() throws QuilldykeException {
         mIndex.onIncarnation("e2", 1);
         mIndex.onDispatch("e2", 1, CHAIN);
 
@@ -60,9 +60,9 @@
     }
 
     @Test
-    void emptyViewsAgreeOnATarget() throws QuilldykeException {
+    void routersWithEmptyIndexesAgreeOnATarget() throws QuilldykeException {
         Router other =
-                Router.create(SiteWeights.LATENCY, PrefixIndex.create(), LoadTable.create(100));
+                Router.create(CostProfile.LATENCY, PrefixIndex.create(), LoadTable.create(100));
 
         String here = mRouter.decide(candidates(6), false).target().id();
         String there = other.decide(candidates(6), false).target().id();
@@ -85,7 +85,7 @@
     }
 
     @Test
-    void noTargetIsNotRun() {
+    void noTargetFailsAsNotRun() {
         QuilldykeException e =
                 assertThrows(QuilldykeException.class, () -> mRouter.decide(List.of(), false));
 
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void fullTargetsAreOverloaded() {
+    void requestLimitFailsAsOverloaded() {
         for (int i = 0; i < 32; i++) {
             mLoads.onDispatch("e1", i, 1, 0);
         }
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void servicesShareTheLoad() throws QuilldykeException {
+    void plainServiceRequestsAreBalanced() throws QuilldykeException {
         List<TargetRecord> targets = List.of(target("s1"), target("s2"), target("s3"));
         for (int i = 0; i < 30; i++) {
             Decision decision = mRouter.decideByLoad(targets, i);
--- a/quilldyke-core/src/test/java/org/quilldyke/routing/TargetBookSizeTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/routing/TargetSelectorScaleTest.java
@@ -34,7 +34,7 @@
 import org.quilldyke.manifest.Route;
 
 /** What a choice costs, and how well it is made, in a large fleet. */
-class TargetBookSizeTest {
+class TargetSelectorScaleTest {
     private static final List<String> DOMAINS = List.of("u", "v", "w", "x", "y", "z");
     private static final Prompt PROMPT =
             new Prompt(
@@ -52,9 +52,9 @@
      * several: other load doesn't count.
      */
     @Test
-    void choiceTakesTimeInStepWithTheEngines() {
-        double small = nanosOfAChoice(50);
-        double large = nanosOfAChoice(1000);
+    void choiceTimeGrowsLinearlyWithTheEngines() {
+        double small = nanosPerChoice(50);
+        double large = nanosPerChoice(1000);
 
         System.out.printf("a choice of 50: %.0f us, of 1000: %.0f us%n", small / 1e3, large / 1e3);
         assertThat(large / small).isLessThan(4 * 20.0);
@@ -65,19 +65,19 @@
      * table, and mostly over the longer way to another failure domain.
      */
     @Test
-    void partsAreFetchedNearbyAndFromManyEngines() {
-        TargetBook book = book(60);
-        String salt = choose(book, Set.of()).cacheSalt();
+    void partsAreFetchedWithinTheDomainAndFromManyEngines() {
+        TargetSelector selector = selector(60);
+        String salt = choose(selector, Set.of()).cacheSalt();
         Set<String> holders = new HashSet<>();
         for (int i = 0; i < 30; i++) {
             holders.add("e" + i);
-            tellKept(book, "e" + i, salt);
+            reportCached(selector, "e" + i, salt);
         }
 
         Set<String> excluded = new HashSet<>(holders);
         Set<String> sources = new HashSet<>();
         for (int i = 0; i < 30; i++) {
-            Choice choice = choose(book, excluded);
+            Choice choice = choose(selector, excluded);
             excluded.add(choice.target());
             sources.add(choice.cacheSource());
             assertThat(domainOf(choice.cacheSource())).isEqualTo(domainOf(choice.target()));
@@ -85,31 +85,31 @@
         assertThat(sources.size()).isAtLeast(12);
     }
 
-    private static double nanosOfAChoice(int engines) {
-        TargetBook book = book(engines);
+    private static double nanosPerChoice(int engines) {
+        TargetSelector selector = selector(engines);
         for (int i = 0; i < engines / 2; i++) {
-            tellKept(book, "e" + i, choose(book, Set.of()).cacheSalt());
+            reportCached(selector, "e" + i, choose(selector, Set.of()).cacheSalt());
         }
         double least = Double.MAX_VALUE;
         for (int round = 0; round < 8; round++) {
             int choices = 20_000 / engines;
-            long start = processorNanos();
+            long start = threadCpuNanos();
             for (int i = 0; i < choices; i++) {
-                choose(book, Set.of());
+                choose(selector, Set.of());
             }
-            least = Math.min(least, (processorNanos() - start) / (double) choices);
+            least = Math.min(least, (threadCpuNanos() - start) / (double) choices);
         }
         return least;
     }
 
-    private static long processorNanos() {
+    private static long threadCpuNanos() {
         return ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
     }
 
-    private static TargetBook book(int engines) {
-        TargetBook book = TargetBook.create("z", 7500, new SplittableRandom(1));
+    private static TargetSelector selector(int engines) {
+        TargetSelector selector = TargetSelector.create("z", 7500, new SplittableRandom(1));
         for (int i = 0; i < engines; i++) {
-            book.onReport(
+            selector.onReport(
                     new TargetReport(
                             "e" + i,
                             "s",
@@ -122,7 +122,7 @@
                             Map.of("m", 1L),
                             1));
         }
-        return book;
+        return selector;
     }
 
     private static String domainOf(String target) {
@@ -130,15 +130,15 @@
         return DOMAINS.get(number % DOMAINS.size());
     }
 
-    private static void tellKept(TargetBook book, String holder, String salt) {
+    private static void reportCached(TargetSelector selector, String holder, String salt) {
         List<Long> keys = new ArrayList<>();
         for (Prompt.Part part : PROMPT.sharedParts()) {
             keys.add(CacheKeys.of(salt, part.id()));
         }
-        book.onCacheNews(new CacheNews(holder, true, false, keys, List.of()));
+        selector.onCacheUpdate(new CacheUpdate(holder, true, false, keys, List.of()));
     }
 
-    private static Choice choose(TargetBook book, Set<String> excluded) {
+    private static Choice choose(TargetSelector selector, Set<String> excluded) {
         Route route =
                 new Route(
                         "r",
@@ -167,6 +167,6 @@
                         5000,
                         new RequestFingerprint(1, 1),
                         -1);
-        return book.choose(request, excluded, 0).orElseThrow();
+        return selector.choose(request, excluded, 0).orElseThrow();
     }
 }
--- a/quilldyke-core/src/test/java/org/quilldyke/weights/LoadPlannerTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/weights/LoadPlannerTest.java
@@ -31,34 +31,34 @@
     private final LoadPlanner mPlanner = LoadPlanner.create();
 
     @Test
-    void announcesThenAsksThenOrdersAtTheRevision() {
+    void announcesThenQueriesThenOrdersAtTheRevision() {
         List<TargetReport> engines = engines(1);
         assertThat(mPlanner.tick(fleet(engines, Set.of()), WANTED, 0))
-                .containsExactly(new LoadAction.Announce("e0"));
+                .containsExactly(new LoadAction.AnnounceLoading("e0"));
         assertThat(mPlanner.tick(fleet(engines, Set.of()), WANTED, 20)).isEmpty();
         assertThat(mPlanner.tick(fleet(engines, Set.of()), WANTED, 50))
-                .containsExactly(new LoadAction.Ask("e0"));
+                .containsExactly(new LoadAction.QueryStatus("e0"));
         assertThat(mPlanner.onStatus("e0", status(false, 7, 1), 55))
                 .containsExactly(new LoadAction.Order("e0", "m", 2, 7));
-        assertThat(mPlanner.onOrdered("e0", OrderOutcome.ACCEPTED, 60)).isEmpty();
+        assertThat(mPlanner.onOrderOutcome("e0", OrderOutcome.ACCEPTED, 60)).isEmpty();
         mPlanner.tick(fleet(engines, Set.of()), WANTED, 900);
         assertThat(mPlanner.onStatus("e0", status(true, 8, 1), 910)).isEmpty();
         mPlanner.tick(fleet(engines, Set.of()), WANTED, 1200);
         assertThat(mPlanner.onStatus("e0", status(false, 8, 2), 1210))
-                .containsExactly(new LoadAction.Release("e0", "m", 2));
+                .containsExactly(new LoadAction.ReturnToService("e0", "m", 2));
     }
 
     @Test
-    void fewEnginesAreAwayAtOnce() {
-        assertThat(atOnce(6, Set.of())).isEqualTo(2);
-        assertThat(atOnce(63, Set.of())).isEqualTo(18);
+    void concurrentLoadsAreLimited() {
+        assertThat(concurrentLoads(6, Set.of())).isEqualTo(2);
+        assertThat(concurrentLoads(63, Set.of())).isEqualTo(18);
     }
 
     /** While two of six were dark, and again when their leases had ended, two more went away. */
     @Test
-    void enginesThatAreDownLeaveFewerToLoadAtOnce() {
-        assertThat(atOnce(6, Set.of("e4", "e5"))).isEqualTo(1);
-        assertThat(atOnce(4, Set.of())).isEqualTo(1);
+    void unresponsiveEnginesLowerTheLimitOfConcurrentLoads() {
+        assertThat(concurrentLoads(6, Set.of("e4", "e5"))).isEqualTo(1);
+        assertThat(concurrentLoads(4, Set.of())).isEqualTo(1);
     }
 
     @Test
@@ -68,7 +68,7 @@
         mPlanner.onStatus("e0", status(false, 0, 1), 55);
 
         assertThat(mPlanner.tick(fleet(List.of(engine("e0", 2)), Set.of()), WANTED, 700))
-                .containsExactly(new LoadAction.Release("e0", "m", 2));
+                .containsExactly(new LoadAction.ReturnToService("e0", "m", 2));
     }
 
     /** In the registry's order the first engines got each version and the last got none. */
@@ -87,19 +87,19 @@
      * Engines took six seconds to finish 45 streams while others with ten waited for their turn.
      */
     @Test
-    void ofEqualWeightsTheEngineWithTheLeastToFinishGoesFirst() {
+    void amongEqualWeightsTheEngineWithFewestOpenRequestsGoesFirst() {
         EngineFleet fleet =
                 new EngineFleet(engines(3), Set.of(), Map.of("e0", 45, "e1", 10, "e2", 30));
 
-        assertThat(mPlanner.tick(fleet, WANTED, 0)).containsExactly(new LoadAction.Announce("e1"));
+        assertThat(mPlanner.tick(fleet, WANTED, 0)).containsExactly(new LoadAction.AnnounceLoading("e1"));
     }
 
     @Test
-    void orderWithoutAnAnswerIsRepeatedOnlyWhileTheRevisionStands() {
+    void unansweredOrderIsRepeatedOnlyAtTheSameRevision() {
         List<TargetReport> engines = engines(1);
         startLoading(engines);
         mPlanner.onStatus("e0", status(false, 7, 1), 55);
-        mPlanner.onOrdered("e0", OrderOutcome.UNKNOWN, 700);
+        mPlanner.onOrderOutcome("e0", OrderOutcome.UNKNOWN, 700);
         mPlanner.tick(fleet(engines, Set.of()), WANTED, 1300);
 
         assertThat(mPlanner.onStatus("e0", status(false, 8, 1), 1310)).isEmpty();
@@ -109,36 +109,36 @@
     }
 
     @Test
-    void engineThatNeverLoadsIsLetGo() {
+    void engineThatNeverLoadsIsAbandoned() {
         List<TargetReport> engines = engines(1);
         startLoading(engines);
-        mPlanner.onNoStatus("e0", 60);
+        mPlanner.onStatusUnavailable("e0", 60);
 
-        assertThat(mPlanner.tick(fleet(engines, Set.of()), WANTED, LoadPlanner.GIVE_UP_MILLIS + 10))
-                .contains(new LoadAction.Release("e0", "m", 0));
+        assertThat(mPlanner.tick(fleet(engines, Set.of()), WANTED, LoadPlanner.LOAD_TIMEOUT_MILLIS + 10))
+                .contains(new LoadAction.ReturnToService("e0", "m", 0));
     }
 
     /** Two dark engines once held both places until their lease ended. */
     @Test
-    void silentEnginesAreLeftAloneAndCountAsAway() {
+    void unresponsiveEnginesAreSkippedAndNotCounted() {
         List<LoadAction> actions = mPlanner.tick(fleet(engines(7), Set.of("e0", "e1")), WANTED, 0);
 
-        assertThat(actions).containsExactly(new LoadAction.Announce("e2"));
+        assertThat(actions).containsExactly(new LoadAction.AnnounceLoading("e2"));
     }
 
     @Test
-    void engineThatFallsSilentMakesRoom() {
+    void engineThatStopsAnsweringIsAbandoned() {
         List<TargetReport> engines = engines(1);
         startLoading(engines);
 
-        assertThat(mPlanner.onNoStatus("e0", 60)).isEmpty();
+        assertThat(mPlanner.onStatusUnavailable("e0", 60)).isEmpty();
         mPlanner.tick(fleet(engines, Set.of()), WANTED, 600);
-        assertThat(mPlanner.onNoStatus("e0", 1300))
-                .containsExactly(new LoadAction.Release("e0", "m", 0));
+        assertThat(mPlanner.onStatusUnavailable("e0", 1300))
+                .containsExactly(new LoadAction.ReturnToService("e0", "m", 0));
     }
 
     @Test
-    void statusOfAnotherIncarnationIsAsGoodAsNone() {
+    void statusOfAnotherIncarnationIsIgnored() {
         List<TargetReport> engines = List.of(engine("e#7", 1));
         startLoading(engines);
         EngineStatus done = new EngineStatus(false, 9, Map.of("m", 2L), 5);
@@ -146,18 +146,18 @@
         assertThat(mPlanner.onStatus("e#7", done, 55)).isEmpty();
         mPlanner.tick(fleet(engines, Set.of()), WANTED, 600);
         assertThat(mPlanner.onStatus("e#7", done, 610))
-                .containsExactly(new LoadAction.Release("e#7", "m", 0));
+                .containsExactly(new LoadAction.ReturnToService("e#7", "m", 0));
     }
 
     @Test
-    void engineThatStartedAgainIsTakenUpAnewAtItsOwnRevision() {
+    void restartedEngineIsOrderedAtItsOwnRevision() {
         startLoading(List.of(engine("e#5", 1)));
         mPlanner.onStatus("e#5", new EngineStatus(false, 4, Map.of("m", 1L), 5), 55);
 
         List<TargetReport> again = List.of(engine("e#7", 1));
         assertThat(mPlanner.tick(fleet(again, Set.of()), WANTED, 100))
-                .containsExactly(new LoadAction.Announce("e#7"));
-        assertThat(mPlanner.onOrdered("e#5", OrderOutcome.HOLDS, 110)).isEmpty();
+                .containsExactly(new LoadAction.AnnounceLoading("e#7"));
+        assertThat(mPlanner.onOrderOutcome("e#5", OrderOutcome.HOLDS, 110)).isEmpty();
         mPlanner.tick(fleet(again, Set.of()), WANTED, 150);
         assertThat(mPlanner.onStatus("e#7", new EngineStatus(false, 0, Map.of("m", 1L), 7), 155))
                 .containsExactly(new LoadAction.Order("e#7", "m", 2, 0));
@@ -169,16 +169,16 @@
         mPlanner.tick(fleet(engines, Set.of()), WANTED, 50);
     }
 
-    private static int atOnce(int count, Set<String> silent) {
-        return LoadPlanner.create().tick(fleet(engines(count), silent), WANTED, 0).size();
+    private static int concurrentLoads(int count, Set<String> unresponsive) {
+        return LoadPlanner.create().tick(fleet(engines(count), unresponsive), WANTED, 0).size();
     }
 
     private static EngineStatus status(boolean busy, long revision, long version) {
         return new EngineStatus(busy, revision, Map.of("m", version), Incarnation.UNTOLD);
     }
 
-    private static EngineFleet fleet(List<TargetReport> engines, Set<String> silent) {
-        return new EngineFleet(engines, silent, Map.of());
+    private static EngineFleet fleet(List<TargetReport> engines, Set<String> unresponsive) {
+        return new EngineFleet(engines, unresponsive, Map.of());
     }
 
     private static List<TargetReport> engines(int count) {
--- a/quilldyke-core/src/test/java/org/quilldyke/weights/OrderOutcomeTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/weights/OrderOutcomeTest.java
@@ -22,17 +22,17 @@
 
 class OrderOutcomeTest {
     @Test
-    void answerOfAnotherIncarnationConfirmsNothing() {
+    void answerOfAnotherIncarnationIsUnknown() {
         for (OrderOutcome outcome : OrderOutcome.values()) {
-            assertThat(outcome.of("e#7", 5)).isEqualTo(OrderOutcome.UNKNOWN);
-            assertThat(outcome.of("e#7", 9)).isEqualTo(OrderOutcome.UNKNOWN);
-            assertThat(outcome.of("e#7", 7)).isEqualTo(outcome);
+            assertThat(outcome.ifFrom("e#7", 5)).isEqualTo(OrderOutcome.UNKNOWN);
+            assertThat(outcome.ifFrom("e#7", 9)).isEqualTo(OrderOutcome.UNKNOWN);
+            assertThat(outcome.ifFrom("e#7", 7)).isEqualTo(outcome);
         }
     }
 
     @Test
-    void answerWithoutABirthIsTakenAsBefore() {
-        assertThat(OrderOutcome.HOLDS.of("e#7", Incarnation.UNTOLD)).isEqualTo(OrderOutcome.HOLDS);
-        assertThat(OrderOutcome.HOLDS.of("e", 7)).isEqualTo(OrderOutcome.HOLDS);
+    void answerWithoutAStartTimeIsAccepted() {
+        assertThat(OrderOutcome.HOLDS.ifFrom("e#7", Incarnation.UNTOLD)).isEqualTo(OrderOutcome.HOLDS);
+        assertThat(OrderOutcome.HOLDS.ifFrom("e", 7)).isEqualTo(OrderOutcome.HOLDS);
     }
 }
--- a/quilldyke-daemon/src/main/java/org/quilldyke/daemon/routing/SharedRouter.java
+++ b/quilldyke-daemon/src/main/java/org/quilldyke/daemon/routing/SharedRouter.java
@@ -30,7 +30,7 @@
 import org.quilldyke.routing.LoadTable;
 import org.quilldyke.routing.PrefixIndex;
 import org.quilldyke.routing.Router;
-import org.quilldyke.routing.SiteWeights;
+import org.quilldyke.routing.CostProfile;
 
 /** The router with its views, shared by the traffic threads; one short lock guards it all. */
 public final class SharedRouter {
@@ -40,12 +40,12 @@
     private final LoadTable mLoads = LoadTable.create(REPORT_LAG_MILLIS);
     private final Router mRouter;
 
-    private SharedRouter(SiteWeights weights) {
+    private SharedRouter(CostProfile weights) {
         mRouter = Router.create(weights, mIndex, mLoads);
     }
 
     /** Returns a router that knows of no target yet. */
-    public static SharedRouter create(SiteWeights weights) {
+    public static SharedRouter create(CostProfile weights) {
         return new SharedRouter(weights);
     }
 
@@ -139,8 +139,8 @@
 
     /** Forgets a target. */
     public synchronized void onTargetLost(String target) {
-        mIndex.onTargetLost(target);
-        mLoads.onTargetLost(target);
+        mIndex.onTargetExpired(target);
+        mLoads.onTargetExpired(target);
     }
 
     /** Returns the blocks known of a target, and the last event included, for a peer. */
--- a/quilldyke-daemon/src/main/java/org/quilldyke/daemon/settings/Site.java
+++ b/quilldyke-daemon/src/main/java/org/quilldyke/daemon/settings/Site.java
@@ -17,7 +17,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.quilldyke.routing.SiteWeights;
+import org.quilldyke.routing.CostProfile;
 
 /**
  * The settings of a site, one file for all of its instances; docs/SETTINGS.md explains each key.
@@ -31,7 +31,7 @@
  */
 public record Site(
         String cell,
-        SiteWeights weights,
+        CostProfile weights,
         String operatorTokenHash,
         List<Instance> instances,
         Limits limits,
--- a/quilldyke-daemon/src/test/java/org/quilldyke/daemon/control/ControlClientTest.java
+++ b/quilldyke-daemon/src/test/java/org/quilldyke/daemon/control/ControlClientTest.java
@@ -46,7 +46,7 @@
 import org.quilldyke.daemon.instance.proto.ExchangeReply;
 import org.quilldyke.daemon.instance.proto.ExchangeRequest;
 import org.quilldyke.daemon.settings.Site;
-import org.quilldyke.routing.SiteWeights;
+import org.quilldyke.routing.CostProfile;
 
 /**
  * Callers see claims refused for 5 s though the control group records them. The order of events: a
@@ -80,7 +80,7 @@
         Site site =
                 new Site(
                         "cell",
-                        SiteWeights.REUSE,
+                        CostProfile.REUSE,
                         "",
                         instances,
                         new Site.Limits(4 << 20, 4 << 20, 4096, 2, 0.2, 4),
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/EntrySubscriber.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/EntrySubscriber.java
@@ -43,9 +43,9 @@
 import org.quilldyke.gateway.instance.proto.TargetLoad;
 import org.quilldyke.gateway.instance.proto.Targets;
 import org.quilldyke.manifest.RouteTable;
-import org.quilldyke.routing.CacheNews;
+import org.quilldyke.routing.CacheUpdate;
 import org.quilldyke.routing.InstanceRank;
-import org.quilldyke.routing.NamedLimit;
+import org.quilldyke.routing.AdvertisedLimit;
 import org.quilldyke.routing.TargetState;
 
 /**
@@ -135,7 +135,7 @@
                             boolean before = mEntry.isConfirmed();
                             mEntry.onConfirmed(askedAt, control);
                             mEntry.retries().onInstanceCount(answer.getEntries());
-                            mEntry.book().onRank(rank(answer), mEntry.now());
+                            mEntry.book().onInstanceRank(rank(answer), mEntry.now());
                             if (!before && mEntry.isConfirmed()) {
                                 mLog.write(
                                         Event.CONFIRMED,
@@ -174,10 +174,10 @@
 
     private void takeLoads(List<TargetLoad> loads) {
         for (TargetState target : mEntry.book().targets()) {
-            mEntry.book().onOthersLoad(target.id(), 0, 0);
+            mEntry.book().onOtherInstancesLoad(target.id(), 0, 0);
         }
         for (TargetLoad load : loads) {
-            mEntry.book().onOthersLoad(load.getTarget(), load.getRequests(), load.getTokens());
+            mEntry.book().onOtherInstancesLoad(load.getTarget(), load.getRequests(), load.getTokens());
         }
     }
 
@@ -305,7 +305,7 @@
         }
         if (mRegistry.report(report.id()).isPresent()) {
             long lastHeardAt = mRegistry.heardAt(report.id());
-            mEntry.loop().execute(() -> mEntry.book().onTold(report.id(), control, lastHeardAt));
+            mEntry.loop().execute(() -> mEntry.book().onReportOrigin(report.id(), control, lastHeardAt));
         }
         // What was open at an earlier incarnation may go on at the one that has just reported.
         endEarlier();
@@ -319,18 +319,18 @@
     }
 
     private void onLimits(Limits limits, String control) {
-        List<NamedLimit> told = LimitFrames.decode(limits, mClock.getAsLong());
+        List<AdvertisedLimit> told = LimitFrames.decode(limits, mClock.getAsLong());
         mEntry.loop().execute(() -> told.forEach(limit -> mEntry.onLimitTold(limit, control)));
     }
 
     private void onCaches(Caches caches) {
-        List<CacheNews> decoded =
+        List<CacheUpdate> decoded =
                 caches.getCachesList().stream().map(EntrySubscriber::decode).toList();
-        mEntry.loop().execute(() -> decoded.forEach(mEntry.book()::onCacheNews));
+        mEntry.loop().execute(() -> decoded.forEach(mEntry.book()::onCacheUpdate));
     }
 
-    private static CacheNews decode(org.quilldyke.gateway.instance.proto.CacheNews news) {
-        return new CacheNews(
+    private static CacheUpdate decode(org.quilldyke.gateway.instance.proto.CacheNews news) {
+        return new CacheUpdate(
                 news.getHolder(),
                 news.getUp(),
                 news.getRestarted() || news.getWhole(),
@@ -344,7 +344,7 @@
                         () -> {
                             if (loading.hasWeights()) {
                                 mEntry.book()
-                                        .onWeightsSeen(
+                                        .onWeightsReported(
                                                 loading.getTarget(),
                                                 loading.getWeights().getModel(),
                                                 loading.getWeights().getVersion());
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/GatewayProcess.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/GatewayProcess.java
@@ -53,8 +53,8 @@
 import org.quilldyke.gateway.platform.ProbeServer;
 import org.quilldyke.gateway.settings.GatewaySettings;
 import org.quilldyke.instance.ControlLinkPlanner;
-import org.quilldyke.routing.NamedLimit;
-import org.quilldyke.routing.TargetBook;
+import org.quilldyke.routing.AdvertisedLimit;
+import org.quilldyke.routing.TargetSelector;
 
 /** One process of a gateway: two threads, and the parts that its role asks for. */
 public final class GatewayProcess {
@@ -270,8 +270,8 @@
 
     private void startEntry() throws QuilldykeException {
         GatewaySettings.Timings timings = mSettings.timings();
-        TargetBook book =
-                TargetBook.create(
+        TargetSelector book =
+                TargetSelector.create(
                         mSettings.failureDomain(),
                         Math.round(timings.convergence() * OLD_WEIGHTS_PART),
                         new SplittableRandom(mSettings.instance().hashCode()));
@@ -336,7 +336,7 @@
                 mClock.getAsLong());
     }
 
-    private void tellLimit(NamedLimit limit) {
+    private void tellLimit(AdvertisedLimit limit) {
         mControl.execute(
                 () -> {
                     Limits limits = LimitFrames.encode(List.of(limit), mClock.getAsLong());
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/Entry.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/Entry.java
@@ -40,8 +40,8 @@
 import org.quilldyke.gateway.platform.GatewayMetrics;
 import org.quilldyke.manifest.Limits;
 import org.quilldyke.manifest.RouteTable;
-import org.quilldyke.routing.NamedLimit;
-import org.quilldyke.routing.TargetBook;
+import org.quilldyke.routing.AdvertisedLimit;
+import org.quilldyke.routing.TargetSelector;
 
 /** What all requests at an entry instance share. Lives on the traffic thread. */
 public final class Entry {
@@ -63,7 +63,7 @@
     private final LongSupplier mClock;
     private final LongSupplier mLeaseClock;
     private final Dialect mDialect;
-    private final TargetBook mBook;
+    private final TargetSelector mBook;
     private final TargetPool mPool;
     private final ServiceRetryBudget mRetries;
     private final ShutdownAdmission mShutdown = ShutdownAdmission.create();
@@ -74,7 +74,7 @@
     private final Map<String, Set<Exchange>> mExchanges = new HashMap<>();
     private final Set<String> mLapsing = new HashSet<>();
     private final CrashWatch mCrashes = new CrashWatch(this);
-    private Consumer<NamedLimit> mOnLimit = limit -> {};
+    private Consumer<AdvertisedLimit> mOnLimit = limit -> {};
     private RouteTable mRoutes;
     private long mIndex = NO_VERSION;
     private String mConfirmedBy = "";
@@ -133,7 +133,7 @@
 
     /** Notes that a target is gone or was silent for too long: what is open there is lost. */
     public void onTargetLost(String target, boolean silent) {
-        if (silent && mBook.isAlive(target, now())) {
+        if (silent && mBook.isResponding(target, now())) {
             // Its reports don't arrive, but its answers do.
             mLapsing.add(target);
             mLoop.schedule(() -> checkLapsing(target), HEARD_CHECK_MILLIS, TimeUnit.MILLISECONDS);
@@ -164,7 +164,7 @@
 
     private void forget(String target) {
         mLapsing.remove(target);
-        mBook.onGone(target);
+        mBook.onRemoved(target);
         mPool.forget(target);
     }
 
@@ -179,18 +179,18 @@
     }
 
     /** Takes what a target's answer says of its limit, and tells others if that is new. */
-    void onLimitHeard(NamedLimit limit) {
+    void onLimitHeard(AdvertisedLimit limit) {
         if (takeLimit(limit, OWN)) {
             mOnLimit.accept(limit);
         }
     }
 
     /** Takes what a target said of its limit to another entry, as a control process tells. */
-    public void onLimitTold(NamedLimit limit, String control) {
+    public void onLimitTold(AdvertisedLimit limit, String control) {
         takeLimit(limit, control);
     }
 
-    private boolean takeLimit(NamedLimit limit, String by) {
+    private boolean takeLimit(AdvertisedLimit limit, String by) {
         boolean news = mBook.onLimit(limit, now());
         if (news) {
             mLog.write(
@@ -206,7 +206,7 @@
     }
 
     /** Has a consumer take limits that targets name anew here; the one before takes no more. */
-    public void tellLimits(Consumer<NamedLimit> onLimit) {
+    public void tellLimits(Consumer<AdvertisedLimit> onLimit) {
         mOnLimit = onLimit;
     }
 
@@ -227,7 +227,7 @@
         if (nothingOpen || isDraining() || !mBook.isLoading(target, now())) {
             return;
         }
-        if (mBook.isHeldUp(target, now())) {
+        if (mBook.shouldMoveStreams(target, now())) {
             open(target).forEach(exchange -> exchange.onTargetWaits(target));
         }
         mLoop.schedule(() -> checkHeldUp(target), HELD_UP_CHECK_MILLIS, TimeUnit.MILLISECONDS);
@@ -331,7 +331,7 @@
     }
 
     /** Returns the targets. */
-    public TargetBook book() {
+    public TargetSelector book() {
         return mBook;
     }
 
@@ -424,7 +424,7 @@
             LongSupplier clock,
             LongSupplier leaseClock,
             Dialect dialect,
-            TargetBook book,
+            TargetSelector book,
             ServiceRetryBudget retries,
             KeyLease lease,
             long applyMillis,
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/ExchangeLog.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/ExchangeLog.java
@@ -24,8 +24,8 @@
 import org.quilldyke.daemon.log.EventLog;
 import org.quilldyke.routing.CacheKeys;
 import org.quilldyke.routing.Choice;
-import org.quilldyke.routing.TargetBook;
-import org.quilldyke.routing.Told;
+import org.quilldyke.routing.TargetSelector;
+import org.quilldyke.routing.ReportOrigin;
 
 /** The log lines of one request: where it was sent and why, and what became of it. */
 final class ExchangeLog {
@@ -39,11 +39,11 @@
     void routed(
             ForwardRequest request,
             Step.Send send,
-            TargetBook book,
+            TargetSelector book,
             ConfigurationStanding standing,
             long now) {
         Choice choice = send.choice();
-        Told told = book.told(choice.target());
+        ReportOrigin told = book.reportOrigin(choice.target());
         mLog.write(
                 Event.ROUTED,
                 "request",
@@ -58,7 +58,7 @@
                 choice.weights(),
                 "subject",
                 request.prompt()
-                        .map(prompt -> Long.toHexString(CacheKeys.subject(prompt)))
+                        .map(prompt -> Long.toHexString(CacheKeys.sharedPrefixKey(prompt)))
                         .orElse(""),
                 "shared",
                 request.prompt().map(Prompt::sharedTokens).orElse(0),
@@ -81,7 +81,7 @@
                 "left_ms",
                 send.millisLeft(),
                 "told_by",
-                told.by(),
+                told.reporter(),
                 "heard_before_ms",
                 told.ageMillis(now),
                 "version",
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/TargetAnswer.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/TargetAnswer.java
@@ -31,7 +31,7 @@
 import org.quilldyke.gateway.engine.Attempt;
 import org.quilldyke.gateway.engine.AttemptListener;
 import org.quilldyke.routing.Choice;
-import org.quilldyke.routing.NamedLimit;
+import org.quilldyke.routing.AdvertisedLimit;
 
 /** What one target sends for a request, read for the {@link Exchange} that asked it. */
 final class TargetAnswer implements AttemptListener {
@@ -255,14 +255,14 @@
 
     private void onHeard() {
         mHeardAt = mEntry.now();
-        mEntry.book().onHeard(mChoice.target(), mHeardAt);
+        mEntry.book().onDataReceived(mChoice.target(), mHeardAt);
     }
 
     private void noteWeights() {
         if (mFacts.weights().isPresent() && mRequest.prompt().isPresent()) {
             String model = mRequest.prompt().get().model();
             long weights = mFacts.weights().getAsLong();
-            mEntry.book().onWeightsSeen(mChoice.target(), model, weights);
+            mEntry.book().onWeightsReported(mChoice.target(), model, weights);
         }
     }
 
@@ -270,8 +270,8 @@
     private void noteLimit() {
         LimitFact limit = mFacts.limit();
         if (limit.isRead() && (limit.perSecond().isPresent() || hasRun())) {
-            double perSecond = limit.perSecond().orElse(NamedLimit.NONE);
-            mEntry.onLimitHeard(new NamedLimit(mChoice.target(), perSecond, mHeardAt));
+            double perSecond = limit.perSecond().orElse(AdvertisedLimit.NONE);
+            mEntry.onLimitHeard(new AdvertisedLimit(mChoice.target(), perSecond, mHeardAt));
         }
     }
 
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/LimitSpread.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/LimitSpread.java
@@ -24,7 +24,7 @@
 import org.quilldyke.gateway.instance.LimitFrames;
 import org.quilldyke.gateway.instance.proto.Limits;
 import org.quilldyke.gateway.instance.proto.PeerFrame;
-import org.quilldyke.routing.NamedLimit;
+import org.quilldyke.routing.AdvertisedLimit;
 
 /**
  * What targets say of the requests that they take, told to all entries: one that hears a target
@@ -33,7 +33,7 @@
 final class LimitSpread {
     private static final int MAX_TARGETS = 4096;
 
-    private final Map<String, NamedLimit> mLatest = new LinkedHashMap<>();
+    private final Map<String, AdvertisedLimit> mLatest = new LinkedHashMap<>();
     private final Consumer<PeerFrame.Builder> mPeers;
     private final Consumer<Limits> mEntries;
     private final LongSupplier mClock;
@@ -68,10 +68,10 @@
 
     private Limits take(Limits told) {
         long now = mClock.getAsLong();
-        List<NamedLimit> news = new ArrayList<>();
-        for (NamedLimit limit : LimitFrames.decode(told, now)) {
-            NamedLimit known = mLatest.get(limit.target());
-            boolean isNews = known == null || limit.at() >= known.at() && limit.isNewsAfter(known);
+        List<AdvertisedLimit> news = new ArrayList<>();
+        for (AdvertisedLimit limit : LimitFrames.decode(told, now)) {
+            AdvertisedLimit known = mLatest.get(limit.target());
+            boolean isNews = known == null || limit.receivedAt() >= known.receivedAt() && limit.shouldPublishAfter(known);
             if (isNews) {
                 // Put anew, so that it is dropped after those of whom nothing was heard for longer.
                 mLatest.remove(limit.target());
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/WeightsKeeper.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/WeightsKeeper.java
@@ -120,18 +120,18 @@
     }
 
     private void perform(LoadAction action) {
-        if (action instanceof LoadAction.Announce announce) {
+        if (action instanceof LoadAction.AnnounceLoading announce) {
             tell(announce.target(), true, "", 0);
-        } else if (action instanceof LoadAction.Release release) {
+        } else if (action instanceof LoadAction.ReturnToService release) {
             onRelease(release);
-        } else if (action instanceof LoadAction.Ask ask) {
+        } else if (action instanceof LoadAction.QueryStatus ask) {
             ask(ask.target());
         } else if (action instanceof LoadAction.Order order) {
             order(order);
         }
     }
 
-    private void onRelease(LoadAction.Release release) {
+    private void onRelease(LoadAction.ReturnToService release) {
         if (release.version() > 0) {
             mTargets.onWeights(release.target(), release.model(), release.version());
             mLog.write(
@@ -157,7 +157,7 @@
     private void ask(String target) {
         Optional<String> address = addressOf(target);
         if (address.isEmpty()) {
-            mPlanner.onNoStatus(target, mClock.getAsLong()).forEach(this::perform);
+            mPlanner.onStatusUnavailable(target, mClock.getAsLong()).forEach(this::perform);
             return;
         }
         LoadPlanner planner = mPlanner;
@@ -171,7 +171,7 @@
         }
         if (status.isEmpty() || !mayOrder()) {
             // Without the right to order just now, the answer is worth as much as none.
-            mPlanner.onNoStatus(target, mClock.getAsLong()).forEach(this::perform);
+            mPlanner.onStatusUnavailable(target, mClock.getAsLong()).forEach(this::perform);
         } else {
             mPlanner.onStatus(target, status.get(), mClock.getAsLong()).forEach(this::perform);
         }
@@ -214,7 +214,7 @@
             mLog.write(Event.ORDER_FAILED, "target", target, "outcome", outcome);
         }
         if (planner == mPlanner) {
-            mPlanner.onOrdered(target, outcome, mClock.getAsLong()).forEach(this::perform);
+            mPlanner.onOrderOutcome(target, outcome, mClock.getAsLong()).forEach(this::perform);
         }
     }
 
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/EngineOrders.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/EngineOrders.java
@@ -124,7 +124,7 @@
 
     private OrderOutcome outcome(String target, int status, byte[] body) {
         try {
-            return outcome(status).of(target, mDialect.readOrdered(body));
+            return outcome(status).ifFrom(target, mDialect.readOrdered(body));
         } catch (QuilldykeException e) {
             mRefused.onRefused(RefusedNews.Source.ORDER, target, e);
             return OrderOutcome.UNKNOWN;
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/instance/LimitFrames.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/instance/LimitFrames.java
@@ -18,29 +18,29 @@
 import java.util.List;
 import org.quilldyke.gateway.instance.proto.Limit;
 import org.quilldyke.gateway.instance.proto.Limits;
-import org.quilldyke.routing.NamedLimit;
+import org.quilldyke.routing.AdvertisedLimit;
 
 /** Turns what targets say of their limits into its form between instances, and back. */
 public final class LimitFrames {
     private LimitFrames() {}
 
     /** Returns the form of what targets said. */
-    public static Limits encode(List<NamedLimit> limits, long now) {
+    public static Limits encode(List<AdvertisedLimit> limits, long now) {
         Limits.Builder out = Limits.newBuilder();
-        for (NamedLimit limit : limits) {
+        for (AdvertisedLimit limit : limits) {
             out.addLimits(
                     Limit.newBuilder()
                             .setTarget(limit.target())
                             .setPerSecond(limit.perSecond())
-                            .setAgeMs(Math.max(0, now - limit.at())));
+                            .setAgeMs(Math.max(0, now - limit.receivedAt())));
         }
         return out.build();
     }
 
     /** Returns what targets said. */
-    public static List<NamedLimit> decode(Limits limits, long now) {
+    public static List<AdvertisedLimit> decode(Limits limits, long now) {
         return limits.getLimitsList().stream()
-                .map(l -> new NamedLimit(l.getTarget(), l.getPerSecond(), now - l.getAgeMs()))
+                .map(l -> new AdvertisedLimit(l.getTarget(), l.getPerSecond(), now - l.getAgeMs()))
                 .toList();
     }
 }
--- a/quilldyke-testkit/src/main/java/org/quilldyke/testkit/bench/SiteModel.java
+++ b/quilldyke-testkit/src/main/java/org/quilldyke/testkit/bench/SiteModel.java
@@ -15,14 +15,14 @@
  */
 package org.quilldyke.testkit.bench;
 
-import org.quilldyke.routing.SiteWeights;
+import org.quilldyke.routing.CostProfile;
 
 /** The two sites as the bench models them. */
 public enum SiteModel {
     /** Long deed chains, heavily shared. */
-    BRAZOS(SiteWeights.REUSE, 10, 4, 24, 4, 10, 200),
+    BRAZOS(CostProfile.REUSE, 10, 4, 24, 4, 10, 200),
     /** Shorter prompts, many households. */
-    WINTERTHAL(SiteWeights.LATENCY, 9, 3, 60, 2, 5, 300);
+    WINTERTHAL(CostProfile.LATENCY, 9, 3, 60, 2, 5, 300);
 
     static final int ENGINES = 6;
     static final int SLOTS = 16;
@@ -33,7 +33,7 @@
     static final int MAX_TOKENS = 100;
     static final int MAX_QUESTION = 3900;
 
-    final SiteWeights mWeights;
+    final CostProfile mWeights;
     final int mInstances;
     final int mContextBlocks;
     final int mRecords;
@@ -42,7 +42,7 @@
     final int mCacheBlocks;
 
     SiteModel(
-            SiteWeights weights,
+            CostProfile weights,
             int instances,
             int contextBlocks,
             int records,
--- a/quilldyke-tools/src/main/java/org/quilldyke/tools/bench/SlopesBench.java
+++ b/quilldyke-tools/src/main/java/org/quilldyke/tools/bench/SlopesBench.java
@@ -44,7 +44,7 @@
 import org.quilldyke.routing.LoadTable;
 import org.quilldyke.routing.PrefixIndex;
 import org.quilldyke.routing.Router;
-import org.quilldyke.routing.SiteWeights;
+import org.quilldyke.routing.CostProfile;
 
 /** Measures what the real code costs at several sizes, as counted loops after a warm-up. */
 public final class SlopesBench {
@@ -271,7 +271,7 @@
     private double decisionNanos(int engines, int blocks) {
         PrefixIndex index = PrefixIndex.create();
         LoadTable loads = LoadTable.create(100);
-        Router router = Router.create(SiteWeights.REUSE, index, loads);
+        Router router = Router.create(CostProfile.REUSE, index, loads);
         BlockChain chain = BlockChain.ofKeys(keys(blocks), blocks * BlockChain.BLOCK_UNITS + 500);
         List<Candidate> candidates = new ArrayList<>();
         for (int i = 0; i < engines; i++) {
--- a/quilldyke-tools/src/main/java/org/quilldyke/tools/demo/DemoSite.java
+++ b/quilldyke-tools/src/main/java/org/quilldyke/tools/demo/DemoSite.java
@@ -29,7 +29,7 @@
 import org.quilldyke.daemon.control.DataFolder;
 import org.quilldyke.daemon.control.ReplicaStorage;
 import org.quilldyke.daemon.settings.Site;
-import org.quilldyke.routing.SiteWeights;
+import org.quilldyke.routing.CostProfile;
 import org.quilldyke.testkit.engine.EngineSettings;
 import org.quilldyke.testkit.engine.EngineStandIn;
 import org.quilldyke.testkit.service.ServiceStandIn;
@@ -118,7 +118,7 @@
         return new DemoSite(
                 new Site(
                         CELL,
-                        SiteWeights.REUSE,
+                        CostProfile.REUSE,
                         CallerHeaders.sha256(OPERATOR_TOKEN),
                         list,
                         new Site.Limits(4 << 20, 4 << 20, 4096, 2, 0.2, 4),
