--- a/quilldyke-core/src/main/java/org/quilldyke/caller/Admission.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/Admission.java
@@ -55,7 +55,7 @@
         if (request.prompt().isEmpty()) {
             return true;
         }
-        long objective = request.route().objectiveMillis();
+        long objective = request.route().latencyObjectiveMillis();
         return admissionMillis
                 <= objective
                         * (request.priority() == 0
@@ -72,13 +72,13 @@
                 + " ms, counted as "
                 + best.admissionMillis()
                 + ", objective "
-                + request.route().objectiveMillis();
+                + request.route().latencyObjectiveMillis();
     }
 
     /** Returns how much of the reading of a prompt's own part doesn't count. */
     public static double discountedPrefillMillis(ForwardRequest request, double ownPrefillMillis) {
         double maxCountedMillis =
-                OWN_PREFILL_OBJECTIVE_FRACTION * request.route().objectiveMillis();
+                OWN_PREFILL_OBJECTIVE_FRACTION * request.route().latencyObjectiveMillis();
         return Math.max(0, ownPrefillMillis - maxCountedMillis);
     }
 
@@ -87,7 +87,7 @@
      * not all come at once, and as soon as its own time demands.
      */
     public static long retryAfterMillis(ForwardRequest request, RandomGenerator random, long now) {
-        long objective = Math.max(1, request.route().objectiveMillis());
+        long objective = Math.max(1, request.route().latencyObjectiveMillis());
         long maxDelay = Math.round((request.deadline() - now) * MAX_RETRY_DELAY_FRACTION);
         long latest = Math.min(maxDelay, Math.round(objective * MAX_RETRY_DELAY_OBJECTIVES));
         long earliest = Math.min(objective, latest);
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/Forwarding.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/Forwarding.java
@@ -365,8 +365,8 @@
         if (!mRequest.route().mayRunAgain()) {
             return Long.MAX_VALUE;
         }
-        long objective = mRequest.route().objectiveMillis();
-        long timeout = mAnswerStarted ? 2 * mRequest.route().pauseMillis() : 2 * objective;
+        long objective = mRequest.route().latencyObjectiveMillis();
+        long timeout = mAnswerStarted ? 2 * mRequest.route().eventGapMillis() : 2 * objective;
         return Math.max(MIN_UNRESPONSIVE_MILLIS, timeout);
     }
 
@@ -491,7 +491,7 @@
     }
 
     private Step waitToResume(long now) {
-        long callerTimeout = mRequest.route().callerPatienceMillis();
+        long callerTimeout = mRequest.route().callerTimeoutMillis();
         OptionalLong next = mResumeBackoff.nextCheckAt(callerTimeout, mRequest.deadline(), now);
         if (next.isEmpty()) {
             return new Step.Abort(mFailureCode, mCutCause);
@@ -565,7 +565,7 @@
             mRun = TargetRun.open(mTargets, choice.get(), mRequest, now);
             return new Step.Send(choice.get(), left, mLastRelayedEvent);
         }
-        long waitUntil = mRequest.arrivedAt() + mRequest.route().objectiveMillis() / WAIT_DIVISOR;
+        long waitUntil = mRequest.arrivedAt() + mRequest.route().latencyObjectiveMillis() / WAIT_DIVISOR;
         if (!mAnswerStarted && now + POLL_MILLIS < Math.min(waitUntil, mRequest.deadline())) {
             mHistory.clearUnavailable();
             return new Step.Wait(now + POLL_MILLIS);
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/Handover.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/Handover.java
@@ -97,7 +97,7 @@
 
     /** Returns how long after the last event that was passed on the next ones may be held. */
     long holdMillis() {
-        return Math.round(MAX_HOLD_PAUSES * mRoute.pauseMillis());
+        return Math.round(MAX_HOLD_PAUSES * mRoute.eventGapMillis());
     }
 
     /**
@@ -106,7 +106,7 @@
      */
     long maxExpectedMillis(CutCause cause) {
         return switch (cause) {
-            case MOVE -> Math.round(MOVE_START_PAUSES * mRoute.pauseMillis());
+            case MOVE -> Math.round(MOVE_START_PAUSES * mRoute.eventGapMillis());
             case SHUTDOWN -> holdMillis();
             default -> Long.MAX_VALUE;
         };
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/ChatTemplate.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/ChatTemplate.java
@@ -29,15 +29,15 @@
      */
     public static String render(List<Message> messages, boolean continueLast) {
         StringBuilder text = new StringBuilder();
-        int open = continueLast ? messages.size() - 1 : messages.size();
-        for (int i = 0; i < open; i++) {
+        int completeCount = continueLast ? messages.size() - 1 : messages.size();
+        for (int i = 0; i < completeCount; i++) {
             Message message = messages.get(i);
             text.append("<|").append(message.role()).append("|>\n");
             text.append(message.content()).append('\n');
         }
         text.append("<|assistant|>\n");
         if (continueLast) {
-            text.append(messages.get(open).content());
+            text.append(messages.get(completeCount).content());
         }
         return text.toString();
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/Departure.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/Departure.java
@@ -19,20 +19,20 @@
  * The end of a target's service, as far as its words tell.
  *
  * @param target the target's key
- * @param sequence of its reports this one and all before don't count any more
- * @param at when it was told, in milliseconds of this instance's monotonic clock
+ * @param lastSequence of its reports this one and all before don't count any more
+ * @param recordedAt when it was told, in milliseconds of this instance's monotonic clock
  */
-public record Departure(String target, long sequence, long at) {
+public record Departure(String target, long lastSequence, long recordedAt) {
     /** No report of the target counts any more. */
-    public static final long FOR_GOOD = Long.MAX_VALUE;
+    public static final long ALL_REPORTS = Long.MAX_VALUE;
 
     /** Returns the end of a target that has said that it is gone. */
-    public static Departure forGood(String target, long at) {
-        return new Departure(target, FOR_GOOD, at);
+    public static Departure permanent(String target, long recordedAt) {
+        return new Departure(target, ALL_REPORTS, recordedAt);
     }
 
     /** Returns the end of a target that said it leaves and wasn't heard since. */
-    public static Departure after(TargetReport last, long at) {
-        return new Departure(last.id(), last.sequence(), at);
+    public static Departure upTo(TargetReport lastReport, long recordedAt) {
+        return new Departure(lastReport.id(), lastReport.sequence(), recordedAt);
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/Departures.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/Departures.java
@@ -28,24 +28,24 @@
     /** Takes a departure; returns whether it is news. */
     boolean add(Departure departure) {
         Departure known = mByTarget.get(departure.target());
-        boolean news = known == null || known.sequence() < departure.sequence();
-        if (news) {
+        boolean isNew = known == null || known.lastSequence() < departure.lastSequence();
+        if (isNew) {
             mByTarget.put(departure.target(), departure);
         }
-        return news;
+        return isNew;
     }
 
     /** Returns whether a report was made before its sender left. */
-    boolean cover(TargetReport report) {
+    boolean precedesDeparture(TargetReport report) {
         Departure known = mByTarget.get(report.id());
-        return known != null && report.sequence() <= known.sequence();
+        return known != null && report.sequence() <= known.lastSequence();
     }
 
-    void expire(long keptMillis, long now) {
-        mByTarget.values().removeIf(departure -> now - departure.at() > keptMillis);
+    void expire(long retentionMillis, long now) {
+        mByTarget.values().removeIf(departure -> now - departure.recordedAt() > retentionMillis);
     }
 
-    Optional<Departure> of(String target) {
+    Optional<Departure> find(String target) {
         return Optional.ofNullable(mByTarget.get(target));
     }
 
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/Incarnation.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/Incarnation.java
@@ -24,60 +24,60 @@
  * the incarnations of one id and are compared with nothing else.
  *
  * @param id the name that the target gives itself
- * @param born the Unix millisecond of its start by its own clock, {@link #UNTOLD} if it doesn't say
+ * @param startedAtMillis the Unix millisecond of its start by its own clock, {@link #UNKNOWN_START} if it doesn't say
  */
-public record Incarnation(String id, long born) {
+public record Incarnation(String id, long startedAtMillis) {
     /** Stands for a target that doesn't say when it was born; any that says so is later. */
-    public static final long UNTOLD = Long.MIN_VALUE;
+    public static final long UNKNOWN_START = Long.MIN_VALUE;
 
     /** Ends the path of a URL, so that no id has it. */
     private static final char SEPARATOR = '#';
 
     /** Returns the incarnation of a target that doesn't say when it was born. */
-    public static Incarnation withoutBirth(String id) {
-        return new Incarnation(id, UNTOLD);
+    public static Incarnation withoutStart(String id) {
+        return new Incarnation(id, UNKNOWN_START);
     }
 
     /** Returns the incarnation that a key names; without a birth the key is the id. */
     public static Incarnation ofKey(String key) {
         int separator = key.lastIndexOf(SEPARATOR);
         if (separator < 0) {
-            return withoutBirth(key);
+            return withoutStart(key);
         }
         try {
-            long born = Long.parseLong(key.substring(separator + 1));
-            return new Incarnation(key.substring(0, separator), born);
+            long startedAtMillis = Long.parseLong(key.substring(separator + 1));
+            return new Incarnation(key.substring(0, separator), startedAtMillis);
         } catch (NumberFormatException e) {
             // The id of a target that doesn't say when it was born.
-            return withoutBirth(key);
+            return withoutStart(key);
         }
     }
 
     /** Returns the one text that names this incarnation among ourselves. */
     public String key() {
-        return tellsBirth() ? id + SEPARATOR + born : id;
+        return hasStart() ? id + SEPARATOR + startedAtMillis : id;
     }
 
     /** Returns whether it is known when the target was born. */
-    public boolean tellsBirth() {
-        return born != UNTOLD;
+    public boolean hasStart() {
+        return startedAtMillis != UNKNOWN_START;
     }
 
     /**
      * Returns whether an answer may be this incarnation's, so that it may be believed of it.
      *
-     * @param answeredBorn the birth that the answer tells, {@link #UNTOLD} if none
+     * @param answeredStartedAtMillis the birth that the answer tells, {@link #UNKNOWN_START} if none
      */
-    public boolean mayHaveSaid(long answeredBorn) {
-        return !tellsBirth() || answeredBorn == UNTOLD || answeredBorn == born;
+    public boolean mayMatch(long answeredStartedAtMillis) {
+        return !hasStart() || answeredStartedAtMillis == UNKNOWN_START || answeredStartedAtMillis == startedAtMillis;
     }
 
     /**
      * Returns whether an answer shows that another one has taken this incarnation's place.
      *
-     * @param answeredBorn the birth that the answer tells, {@link #UNTOLD} if none
+     * @param answeredStartedAtMillis the birth that the answer tells, {@link #UNKNOWN_START} if none
      */
-    public boolean isOutlivedBy(long answeredBorn) {
-        return !mayHaveSaid(answeredBorn) && answeredBorn > born;
+    public boolean isSupersededBy(long answeredStartedAtMillis) {
+        return !mayMatch(answeredStartedAtMillis) && answeredStartedAtMillis > startedAtMillis;
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/LatestIncarnations.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/LatestIncarnations.java
@@ -45,9 +45,9 @@
     }
 
     /** Returns whether a later incarnation of the same id is known. */
-    public boolean isPast(Incarnation incarnation) {
+    public boolean isSuperseded(Incarnation incarnation) {
         Incarnation latest = mLatest.get(incarnation.id());
-        return latest != null && latest.born() > incarnation.born();
+        return latest != null && latest.startedAtMillis() > incarnation.startedAtMillis();
     }
 
     /**
@@ -55,16 +55,16 @@
      *
      * @return the one that it puts an end to, if that was known
      */
-    public Optional<Incarnation> note(Incarnation incarnation) {
-        if (isPast(incarnation)) {
+    public Optional<Incarnation> observe(Incarnation incarnation) {
+        if (isSuperseded(incarnation)) {
             return Optional.empty();
         }
-        Incarnation before = mLatest.put(incarnation.id(), incarnation);
-        return Optional.ofNullable(before).filter(known -> known.born() < incarnation.born());
+        Incarnation previous = mLatest.put(incarnation.id(), incarnation);
+        return Optional.ofNullable(previous).filter(known -> known.startedAtMillis() < incarnation.startedAtMillis());
     }
 
     /** Returns the latest incarnation of an id. */
-    public Optional<Incarnation> of(String id) {
+    public Optional<Incarnation> find(String id) {
         return Optional.ofNullable(mLatest.get(id));
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/Leave.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/LeaveOutcome.java
@@ -23,11 +23,11 @@
  * @param target for whom it was taken: an incarnation's key, or the plain id
  * @param result what was made of it
  * @param suspension who takes nothing new because of it, where that isn't sure
- * @param isNews whether others have to hear of it
+ * @param needsPropagation whether others have to hear of it
  */
-public record Leave(String target, Result result, Optional<Suspension> suspension, boolean isNews) {
+public record LeaveOutcome(String target, Result result, Optional<Suspension> suspension, boolean needsPropagation) {
     /** Returns whether the target itself is gone for good. */
-    public boolean isGone() {
+    public boolean hasDeparted() {
         return result != Result.SUSPENDED;
     }
 
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/ReportRules.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/ReportRules.java
@@ -29,11 +29,11 @@
     /** Far more than any target runs at once; with more, all requests would go there. */
     static final int MAX_SLOTS = 100_000;
 
-    static final int MAX_TEXT = 256;
+    static final int MAX_TEXT_LENGTH = 256;
     static final int MAX_MODELS = 256;
 
     /** Numbers up to here are the same to all that read them; after a higher one none may come. */
-    static final long MAX_NUMBER = 1L << 53;
+    static final long MAX_SAFE_INTEGER = 1L << 53;
 
     /** What stands in a path, and in a header, as it is; the longest id in use has some 40. */
     private static final Pattern ID = Pattern.compile("[A-Za-z0-9._~:@!$&'()*+,;=-]{1,128}");
@@ -45,41 +45,41 @@
      *
      * @throws QuilldykeException with the code of the first rule that it breaks
      */
-    public static TargetReport checked(TargetReport report) throws QuilldykeException {
-        Optional<ResultCode> objection = objection(report);
-        if (objection.isPresent()) {
-            throw QuilldykeException.notRun(objection.get(), "");
+    public static TargetReport validated(TargetReport report) throws QuilldykeException {
+        Optional<ResultCode> violation = findViolation(report);
+        if (violation.isPresent()) {
+            throw QuilldykeException.notRun(violation.get(), "");
         }
         return report;
     }
 
     /** Returns the first rule that a report breaks. */
-    public static Optional<ResultCode> objection(TargetReport report) {
+    public static Optional<ResultCode> findViolation(TargetReport report) {
         if (!isId(Incarnation.ofKey(report.id()).id())) {
             return Optional.of(ResultCode.REPORT_ID);
         }
         if (!SocketAddresses.isIpAndPort(report.address())) {
             return Optional.of(ResultCode.REPORT_ADDRESS);
         }
-        boolean texts =
+        boolean textsAreValid =
                 isName(report.service())
                         && isText(report.failureDomain())
                         && isText(report.softwareVersion());
-        if (!texts) {
+        if (!textsAreValid) {
             return Optional.of(ResultCode.REPORT_INVALID);
         }
-        boolean numbers =
+        boolean numbersAreInRange =
                 report.slots() >= 1
                         && report.slots() <= MAX_SLOTS
-                        && isCount(report.coldMillis())
-                        && (report.isRemembered() || isCount(report.sequence()));
-        return numbers ? objection(report.weights()) : Optional.of(ResultCode.REPORT_RANGE);
+                        && isInRange(report.coldRemainingMillis())
+                        && (report.isRestored() || isInRange(report.sequence()));
+        return numbersAreInRange ? findViolation(report.weights()) : Optional.of(ResultCode.REPORT_RANGE);
     }
 
     /** Returns the first rule that is broken by what a target says of the weights it holds. */
-    public static Optional<ResultCode> objection(Map<String, Long> weights) {
+    public static Optional<ResultCode> findViolation(Map<String, Long> weights) {
         if (weights.size() > MAX_MODELS
-                || !weights.values().stream().allMatch(ReportRules::isCount)) {
+                || !weights.values().stream().allMatch(ReportRules::isInRange)) {
             return Optional.of(ResultCode.REPORT_RANGE);
         }
         return weights.keySet().stream().allMatch(ReportRules::isName)
@@ -93,8 +93,8 @@
     }
 
     /** Returns whether a number that targets count up, or a time in milliseconds, is sound. */
-    public static boolean isCount(long number) {
-        return number >= 0 && number <= MAX_NUMBER;
+    public static boolean isInRange(long number) {
+        return number >= 0 && number <= MAX_SAFE_INTEGER;
     }
 
     private static boolean isName(String text) {
@@ -103,7 +103,7 @@
 
     /** Half of a surrogate pair is another text once it has been sent on. */
     private static boolean isText(String text) {
-        return text.length() <= MAX_TEXT
+        return text.length() <= MAX_TEXT_LENGTH
                 && text.codePoints()
                         .noneMatch(
                                 c ->
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/Suspension.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/Suspension.java
@@ -20,34 +20,34 @@
  * its predecessor. Until it is known whose it was, the present one takes no new requests.
  *
  * @param target the key of the incarnation, the plain id if it isn't known which one there is
- * @param at when the leave was told, in milliseconds of this instance's monotonic clock
- * @param orNext whether the next incarnation may have left, too: its reports may come after its
+ * @param leaveReceivedAt when the leave was told, in milliseconds of this instance's monotonic clock
+ * @param coversSuccessor whether the next incarnation may have left, too: its reports may come after its
  *     leave, and the one before it was silent when the leave came
  */
-public record Suspension(String target, long at, boolean orNext) {
+public record Suspension(String target, long leaveReceivedAt, boolean coversSuccessor) {
     /** Words of targets come late by seconds: who is heard after this is sure to live. */
-    static final long LATE_WORD_MILLIS = 10_000;
+    static final long MAX_MESSAGE_DELAY_MILLIS = 10_000;
 
     /** Targets report themselves every second or so: one that did so this lately lived. */
-    private static final long REPORTED_LATELY_MILLIS = 3000;
+    private static final long RECENT_REPORT_MILLIS = 3000;
 
     /** One word is told over several ways; another leave of the same id comes later than that. */
-    private static final long SAME_WORD_MILLIS = 1000;
+    private static final long DUPLICATE_LEAVE_MILLIS = 1000;
 
     /** Returns the suspension by a leave of whoever has an id where none is known. */
-    static Suspension ofUnknown(String id, long at) {
-        return new Suspension(id, at, true);
+    static Suspension forUnknownId(String id, long leaveReceivedAt) {
+        return new Suspension(id, leaveReceivedAt, true);
     }
 
     /** Returns the suspension by a leave of whoever has an id where an incarnation is known. */
-    static Suspension of(String target, long reportedAt, long at) {
-        return new Suspension(target, at, at - reportedAt > REPORTED_LATELY_MILLIS);
+    static Suspension forIncarnation(String target, long latestReportAt, long leaveReceivedAt) {
+        return new Suspension(target, leaveReceivedAt, leaveReceivedAt - latestReportAt > RECENT_REPORT_MILLIS);
     }
 
     /** Returns the same suspension of an incarnation that was told of later. */
-    Suspension of(Incarnation later, long heardAt) {
-        boolean wasSilent = heardAt <= at && at - heardAt > REPORTED_LATELY_MILLIS;
-        return new Suspension(later.key(), at, orNext && wasSilent);
+    Suspension movedTo(Incarnation successor, long seenAt) {
+        boolean wasSilent = seenAt <= leaveReceivedAt && leaveReceivedAt - seenAt > RECENT_REPORT_MILLIS;
+        return new Suspension(successor.key(), leaveReceivedAt, coversSuccessor && wasSilent);
     }
 
     /** Returns which incarnation is meant. */
@@ -56,14 +56,14 @@
     }
 
     /** Returns whether a report that was heard at a time may have been made before the leave. */
-    boolean mayFollow(long heardAt) {
-        return heardAt <= at + LATE_WORD_MILLIS;
+    boolean mayPredateLeave(long seenAt) {
+        return seenAt <= leaveReceivedAt + MAX_MESSAGE_DELAY_MILLIS;
     }
 
     /** Returns whether this tells something that another one of the same id doesn't. */
-    boolean isNewsAfter(Suspension known) {
-        boolean later = incarnation().born() > known.incarnation().born();
-        boolean wider = target.equals(known.target) && orNext && !known.orNext;
-        return later || wider || at - known.at > SAME_WORD_MILLIS;
+    boolean addsInformationTo(Suspension known) {
+        boolean isLaterIncarnation = incarnation().startedAtMillis() > known.incarnation().startedAtMillis();
+        boolean addsSuccessor = target.equals(known.target) && coversSuccessor && !known.coversSuccessor;
+        return isLaterIncarnation || addsSuccessor || leaveReceivedAt - known.leaveReceivedAt > DUPLICATE_LEAVE_MILLIS;
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/Suspensions.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/Suspensions.java
@@ -23,7 +23,7 @@
 /** The latest suspension of each id. */
 final class Suspensions {
     /** What was heard before the end of a suspension may be told somewhat later. */
-    private static final long KEPT_MILLIS = 2 * Suspension.LATE_WORD_MILLIS;
+    private static final long RETENTION_MILLIS = 2 * Suspension.MAX_MESSAGE_DELAY_MILLIS;
 
     private final Map<String, Suspension> mById = new HashMap<>();
 
@@ -31,34 +31,34 @@
     boolean add(Suspension suspension) {
         String id = suspension.incarnation().id();
         Suspension known = mById.get(id);
-        boolean news = known == null || suspension.isNewsAfter(known);
-        if (news) {
+        boolean isNew = known == null || suspension.addsInformationTo(known);
+        if (isNew) {
             mById.put(id, suspension);
         }
-        return news;
+        return isNew;
     }
 
     /**
      * Returns whether what an incarnation says at a time doesn't show yet that it stays. A later
      * one than was known may have left, too, if it was heard before the leave, or is the next.
      */
-    boolean covers(Incarnation incarnation, long heardAt) {
+    boolean isSuspended(Incarnation incarnation, long seenAt) {
         Suspension known = mById.get(incarnation.id());
-        if (known == null || !known.mayFollow(heardAt) || !incarnation.tellsBirth()) {
+        if (known == null || !known.mayPredateLeave(seenAt) || !incarnation.hasStart()) {
             return false;
         }
-        if (incarnation.born() <= known.incarnation().born()) {
+        if (incarnation.startedAtMillis() <= known.incarnation().startedAtMillis()) {
             return true;
         }
-        boolean mayHaveLeft = heardAt <= known.at() || known.orNext();
+        boolean mayHaveLeft = seenAt <= known.leaveReceivedAt() || known.coversSuccessor();
         if (mayHaveLeft) {
-            mById.put(incarnation.id(), known.of(incarnation, heardAt));
+            mById.put(incarnation.id(), known.movedTo(incarnation, seenAt));
         }
         return mayHaveLeft;
     }
 
     void expire(long now) {
-        mById.values().removeIf(suspension -> now - suspension.at() > KEPT_MILLIS);
+        mById.values().removeIf(suspension -> now - suspension.leaveReceivedAt() > RETENTION_MILLIS);
     }
 
     Collection<Suspension> all() {
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/TargetRecord.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/TargetRecord.java
@@ -64,7 +64,7 @@
     }
 
     /** Returns whether the two records say the same but for the sequence. */
-    public boolean saysSameAs(TargetRecord other) {
+    public boolean equalsExceptSequence(TargetRecord other) {
         return withSequence(0).equals(other.withSequence(0));
     }
 
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/TargetRegistry.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/TargetRegistry.java
@@ -37,21 +37,21 @@
     public static final long NEVER = Long.MIN_VALUE / 2;
 
     /** For how long a late report of a target that is gone is still known as such. */
-    static final long GONE_KEPT_MILLIS = 120_000;
+    static final long TOMBSTONE_RETENTION_MILLIS = 120_000;
 
     private final Map<String, Entry> mEntries = new HashMap<>();
     private final Departures mDepartures = new Departures();
     private final Suspensions mSuspensions = new Suspensions();
     private final Map<String, Displaced> mDisplaced = new HashMap<>();
     private final Map<String, Lapsed> mLapsed = new HashMap<>();
-    private final LatestIncarnations mLatest = LatestIncarnations.create();
-    private final List<String> mEnded = new ArrayList<>();
-    private final List<String> mDropped = new ArrayList<>();
-    private final List<String> mLeft = new ArrayList<>();
-    private final boolean mJudges;
+    private final LatestIncarnations mLatestIncarnations = LatestIncarnations.create();
+    private final List<String> mNewlySuperseded = new ArrayList<>();
+    private final List<String> mNewlyDisplaced = new ArrayList<>();
+    private final List<String> mInferredDepartures = new ArrayList<>();
+    private final boolean mAuthoritative;
 
-    private TargetRegistry(boolean judges) {
-        mJudges = judges;
+    private TargetRegistry(boolean authoritative) {
+        mAuthoritative = authoritative;
     }
 
     /** Returns a registry that knows no target and hears targets themselves. */
@@ -60,45 +60,45 @@
     }
 
     /** Returns a registry that knows no target and takes what other registries have judged. */
-    public static TargetRegistry following() {
+    public static TargetRegistry createFollower() {
         return new TargetRegistry(false);
     }
 
     /**
      * Takes a report.
      *
-     * @param heardAt when it was made, as far as known
+     * @param seenAt when it was made, as far as known
      * @return whether it tells something new, other than that the target lives
      */
-    public boolean onReport(TargetReport told, long heardAt) {
+    public boolean onReport(TargetReport received, long seenAt) {
         TargetReport report =
-                mSuspensions.covers(told.incarnation(), heardAt) ? told.asLeaving() : told;
-        if (mDepartures.cover(report) || mLatest.isPast(report.incarnation())) {
+                mSuspensions.isSuspended(received.incarnation(), seenAt) ? received.asLeaving() : received;
+        if (mDepartures.precedesDeparture(report) || mLatestIncarnations.isSuperseded(report.incarnation())) {
             return false;
         }
         Entry known = mEntries.get(report.id());
-        if (known != null && !report.replaces(known.mReport)) {
-            known.mHeardAt = Math.max(known.mHeardAt, heardAt);
+        if (known != null && !report.supersedes(known.mReport)) {
+            known.mLastSeenAt = Math.max(known.mLastSeenAt, seenAt);
             return false;
         }
-        if (mJudges && isOfAnEndedTarget(report.id(), heardAt)) {
-            if (report.leaving() && mDepartures.add(Departure.after(report, heardAt))) {
+        if (mAuthoritative && isFromDisplacedTarget(report.id(), seenAt)) {
+            if (report.leaving() && mDepartures.add(Departure.upTo(report, seenAt))) {
                 // Whoever has the address, and whether it still answers: it asks for no more.
-                mLeft.add(report.id());
+                mInferredDepartures.add(report.id());
             }
             return false;
         }
-        boolean succeeds = endEarlier(report.incarnation());
-        displaceOthers(report, heardAt);
+        boolean replacesEarlier = supersedeEarlier(report.incarnation());
+        displaceOthers(report, seenAt);
         if (known == null) {
-            mEntries.put(report.id(), new Entry(report, heardAt, succeeds));
+            mEntries.put(report.id(), new Entry(report, seenAt, replacesEarlier));
             return true;
         }
-        boolean news = known.mReport.isRemembered() || !known.mReport.tellsTheSame(report);
+        boolean changed = known.mReport.isRestored() || !known.mReport.isEquivalentTo(report);
         known.mReport = report;
-        known.mHeardAt = Math.max(known.mHeardAt, heardAt);
-        known.mReportedAt = Math.max(known.mReportedAt, heardAt);
-        return news;
+        known.mLastSeenAt = Math.max(known.mLastSeenAt, seenAt);
+        known.mLatestReportAt = Math.max(known.mLatestReportAt, seenAt);
+        return changed;
     }
 
     /**
@@ -106,15 +106,15 @@
      * been held up on its way until long after its sender's end. Who reports twice while the other
      * one is silent lives, however.
      */
-    private boolean isOfAnEndedTarget(String id, long heardAt) {
+    private boolean isFromDisplacedTarget(String id, long seenAt) {
         Displaced displaced = mDisplaced.get(id);
         if (displaced == null) {
             return false;
         }
-        Entry holder = mEntries.get(displaced.mBy);
-        boolean holderLives = holder != null && holder.mHeardAt >= displaced.mHeardAgainAt;
-        if (holderLives) {
-            displaced.mHeardAgainAt = heardAt;
+        Entry holder = mEntries.get(displaced.mHolderId);
+        boolean holderIsAlive = holder != null && holder.mLastSeenAt >= displaced.mLastReportAt;
+        if (holderIsAlive) {
+            displaced.mLastReportAt = seenAt;
             return true;
         }
         mDisplaced.remove(id);
@@ -125,14 +125,14 @@
      * Whatever was known of earlier incarnations ends with the first word of a later one; returns
      * whether there was one.
      */
-    private boolean endEarlier(Incarnation incarnation) {
-        Optional<String> earlier = mLatest.note(incarnation).map(Incarnation::key);
+    private boolean supersedeEarlier(Incarnation incarnation) {
+        Optional<String> earlier = mLatestIncarnations.observe(incarnation).map(Incarnation::key);
         earlier.ifPresent(
-                ended -> {
-                    mEntries.remove(ended);
-                    mLapsed.remove(ended);
-                    mDisplaced.remove(ended);
-                    mEnded.add(ended);
+                superseded -> {
+                    mEntries.remove(superseded);
+                    mLapsed.remove(superseded);
+                    mDisplaced.remove(superseded);
+                    mNewlySuperseded.add(superseded);
                 });
         return earlier.isPresent();
     }
@@ -141,20 +141,20 @@
      * Returns the incarnations that a later one has ended since this was asked last: what is open
      * there is lost.
      */
-    public List<String> takeEnded() {
-        List<String> ended = List.copyOf(mEnded);
-        mEnded.clear();
-        return ended;
+    public List<String> takeSuperseded() {
+        List<String> superseded = List.copyOf(mNewlySuperseded);
+        mNewlySuperseded.clear();
+        return superseded;
     }
 
     /**
      * Returns the targets that were known, and whose address another one has taken, since this was
      * asked last: they are sent nothing more.
      */
-    public List<String> takeDropped() {
-        List<String> dropped = List.copyOf(mDropped);
-        mDropped.clear();
-        return dropped;
+    public List<String> takeDisplaced() {
+        List<String> displaced = List.copyOf(mNewlyDisplaced);
+        mNewlyDisplaced.clear();
+        return displaced;
     }
 
     /**
@@ -166,76 +166,76 @@
      * and who leaves takes no new requests, so whoever it isn't sure of is neither ended nor left
      * as it is, but suspended.
      */
-    public Leave onLeave(String told, long now) {
-        return Incarnation.ofKey(told).tellsBirth()
-                ? end(told, Optional.empty(), now)
-                : onLeaveWithoutBirth(latest(told), now);
+    public LeaveOutcome onLeave(String reportedKey, long now) {
+        return Incarnation.ofKey(reportedKey).hasStart()
+                ? recordLeave(reportedKey, Optional.empty(), now)
+                : onLeaveWithoutStart(latestKey(reportedKey), now);
     }
 
-    private Leave onLeaveWithoutBirth(String latest, long now) {
-        if (!Incarnation.ofKey(latest).tellsBirth()) {
+    private LeaveOutcome onLeaveWithoutStart(String latestKey, long now) {
+        if (!Incarnation.ofKey(latestKey).hasStart()) {
             // Others may know an incarnation of the id, and this process may soon be told of it.
-            boolean isKnown = mEntries.containsKey(latest);
-            Optional<Suspension> unplaced =
-                    isKnown ? Optional.empty() : Optional.of(Suspension.ofUnknown(latest, now));
-            return end(latest, unplaced, now);
+            boolean isKnown = mEntries.containsKey(latestKey);
+            Optional<Suspension> idSuspension =
+                    isKnown ? Optional.empty() : Optional.of(Suspension.forUnknownId(latestKey, now));
+            return recordLeave(latestKey, idSuspension, now);
         }
-        Entry known = mEntries.get(latest);
+        Entry known = mEntries.get(latestKey);
         // What comes late, or is only told by another instance, doesn't show that it lived just
         // now.
-        long reportedAt = known == null ? NEVER : known.mReportedAt;
-        Suspension suspension = Suspension.of(latest, reportedAt, now);
-        if (known != null && mayBePredecessors(known, now)) {
-            boolean news = onSuspended(suspension);
-            return new Leave(latest, Leave.Result.SUSPENDED, Optional.of(suspension), news);
+        long latestReportAt = known == null ? NEVER : known.mLatestReportAt;
+        Suspension suspension = Suspension.forIncarnation(latestKey, latestReportAt, now);
+        if (known != null && mayBeFromPredecessor(known, now)) {
+            boolean isNew = onSuspension(suspension);
+            return new LeaveOutcome(latestKey, LeaveOutcome.Result.SUSPENDED, Optional.of(suspension), isNew);
         }
-        return end(latest, Optional.of(suspension).filter(Suspension::orNext), now);
+        return recordLeave(latestKey, Optional.of(suspension).filter(Suspension::coversSuccessor), now);
     }
 
-    private Leave end(String target, Optional<Suspension> suspension, long now) {
+    private LeaveOutcome recordLeave(String target, Optional<Suspension> suspension, long now) {
         boolean isKnown = mEntries.containsKey(target);
-        boolean gone = onGone(target, now);
-        boolean suspends = suspension.map(this::onSuspended).orElse(false);
-        boolean isUnplaced = suspension.isPresent() && !Incarnation.ofKey(target).tellsBirth();
-        Leave.Result result =
+        boolean isNewDeparture = onPermanentDeparture(target, now);
+        boolean isNewSuspension = suspension.map(this::onSuspension).orElse(false);
+        boolean isUnknownId = suspension.isPresent() && !Incarnation.ofKey(target).hasStart();
+        LeaveOutcome.Result result =
                 isKnown
-                        ? Leave.Result.ENDED
-                        : isUnplaced
-                                ? Leave.Result.UNPLACED
-                                : gone ? Leave.Result.UNKNOWN : Leave.Result.KNOWN;
-        return new Leave(target, result, suspension, gone || suspends);
+                        ? LeaveOutcome.Result.ENDED
+                        : isUnknownId
+                                ? LeaveOutcome.Result.UNPLACED
+                                : isNewDeparture ? LeaveOutcome.Result.UNKNOWN : LeaveOutcome.Result.KNOWN;
+        return new LeaveOutcome(target, result, suspension, isNewDeparture || isNewSuspension);
     }
 
     /**
      * Returns whether a leave may be that of a target's predecessor: the target has just taken its
      * place, or the same leave came to another process, where it had.
      */
-    private boolean mayBePredecessors(Entry known, long now) {
-        boolean isNew = known.mSucceeds && now - known.mSince < Suspension.LATE_WORD_MILLIS;
-        return isNew || mSuspensions.covers(known.mReport.incarnation(), now);
+    private boolean mayBeFromPredecessor(Entry known, long now) {
+        boolean isRecentSuccessor = known.mReplacedEarlier && now - known.mFirstSeenAt < Suspension.MAX_MESSAGE_DELAY_MILLIS;
+        return isRecentSuccessor || mSuspensions.isSuspended(known.mReport.incarnation(), now);
     }
 
     /**
      * Takes a suspension of an incarnation, or of whichever is known under an id; returns whether
      * that is news.
      */
-    public boolean onSuspended(Suspension told) {
-        Incarnation incarnation = told.incarnation();
-        String target = incarnation.tellsBirth() ? told.target() : latest(told.target());
-        Suspension suspension = new Suspension(target, told.at(), told.orNext());
-        endEarlier(suspension.incarnation());
-        boolean news = mSuspensions.add(suspension);
+    public boolean onSuspension(Suspension received) {
+        Incarnation incarnation = received.incarnation();
+        String target = incarnation.hasStart() ? received.target() : latestKey(received.target());
+        Suspension suspension = new Suspension(target, received.leaveReceivedAt(), received.coversSuccessor());
+        supersedeEarlier(suspension.incarnation());
+        boolean isNew = mSuspensions.add(suspension);
         Entry known = mEntries.get(target);
-        if (news && known != null && suspension.mayFollow(known.mHeardAt)) {
+        if (isNew && known != null && suspension.mayPredateLeave(known.mLastSeenAt)) {
             known.mReport = known.mReport.asLeaving();
         }
-        return news;
+        return isNew;
     }
 
     /** Returns the latest incarnation that is known under the id of another key. */
-    public String latest(String key) {
+    public String latestKey(String key) {
         Incarnation incarnation = Incarnation.ofKey(key);
-        return mLatest.of(incarnation.id()).orElse(incarnation).key();
+        return mLatestIncarnations.find(incarnation.id()).orElse(incarnation).key();
     }
 
     /** Returns the suspensions of which others have to know. */
@@ -244,32 +244,32 @@
     }
 
     /** An address belongs to one target at a time: whoever had it before has ended. */
-    private void displaceOthers(TargetReport report, long heardAt) {
-        List<Entry> ended =
+    private void displaceOthers(TargetReport report, long seenAt) {
+        List<Entry> displaced =
                 mEntries.values().stream()
                         .filter(other -> other.mReport.address().equals(report.address()))
                         .filter(other -> !other.mReport.id().equals(report.id()))
-                        .filter(other -> other.mHeardAt < heardAt)
+                        .filter(other -> other.mLastSeenAt < seenAt)
                         .toList();
-        for (Entry other : ended) {
+        for (Entry other : displaced) {
             mEntries.remove(other.mReport.id());
-            mDropped.add(other.mReport.id());
-            mDisplaced.put(other.mReport.id(), new Displaced(report.id(), heardAt));
+            mNewlyDisplaced.add(other.mReport.id());
+            mDisplaced.put(other.mReport.id(), new Displaced(report.id(), seenAt));
         }
         mLapsed.remove(report.id());
         for (Map.Entry<String, Lapsed> lapsed : List.copyOf(mLapsed.entrySet())) {
             if (lapsed.getValue().address().equals(report.address())) {
                 mLapsed.remove(lapsed.getKey());
-                mDisplaced.put(lapsed.getKey(), new Displaced(report.id(), heardAt));
+                mDisplaced.put(lapsed.getKey(), new Displaced(report.id(), seenAt));
             }
         }
     }
 
     /** Notes that a target lives, as of a report that was told before. */
-    public void onAlive(String id, long heardAt) {
+    public void onAlive(String id, long seenAt) {
         Entry known = mEntries.get(id);
         if (known != null) {
-            known.mHeardAt = Math.max(known.mHeardAt, heardAt);
+            known.mLastSeenAt = Math.max(known.mLastSeenAt, seenAt);
         }
     }
 
@@ -284,19 +284,19 @@
     }
 
     /** Notes that a target is gone for good; returns whether that is news. */
-    public boolean onGone(String id, long now) {
-        return onDeparture(Departure.forGood(id, now));
+    public boolean onPermanentDeparture(String id, long now) {
+        return onDeparture(Departure.permanent(id, now));
     }
 
     /** Notes that a target has left; returns whether that is news. */
     public boolean onDeparture(Departure departure) {
-        boolean news = mDepartures.add(departure);
+        boolean isNew = mDepartures.add(departure);
         Entry known = mEntries.get(departure.target());
-        if (known != null && mDepartures.cover(known.mReport)) {
+        if (known != null && mDepartures.precedesDeparture(known.mReport)) {
             mEntries.remove(departure.target());
         }
-        endEarlier(Incarnation.ofKey(departure.target()));
-        return news;
+        supersedeEarlier(Incarnation.ofKey(departure.target()));
+        return isNew;
     }
 
     /** Forgets a target that is silent; returns whether it was known. */
@@ -308,38 +308,38 @@
      * Returns the targets that were not heard for {@code silentMillis}, and forgets them. Those
      * that had said that they leave have left: a report from before must not bring them back.
      */
-    public List<TargetReport> lapse(long silentMillis, long now) {
-        forgetOld(now);
+    public List<TargetReport> lapse(long timeoutMillis, long now) {
+        expireTombstones(now);
         List<TargetReport> lapsed = new ArrayList<>();
         for (Entry entry : mEntries.values()) {
-            if (now - entry.mHeardAt > silentMillis) {
+            if (now - entry.mLastSeenAt > timeoutMillis) {
                 lapsed.add(entry.mReport);
             }
         }
         for (TargetReport report : lapsed) {
             mEntries.remove(report.id());
             mLapsed.put(report.id(), new Lapsed(report.address(), now));
-            if (report.leaving() && mDepartures.add(Departure.after(report, now))) {
-                mLeft.add(report.id());
+            if (report.leaving() && mDepartures.add(Departure.upTo(report, now))) {
+                mInferredDepartures.add(report.id());
             }
         }
         return lapsed;
     }
 
     /** Forgets what is only known to tell late words from others. */
-    public void forgetOld(long now) {
-        mDepartures.expire(GONE_KEPT_MILLIS, now);
-        mDisplaced.values().removeIf(known -> now - known.mAt > GONE_KEPT_MILLIS);
-        mLapsed.values().removeIf(known -> now - known.at() > GONE_KEPT_MILLIS);
+    public void expireTombstones(long now) {
+        mDepartures.expire(TOMBSTONE_RETENTION_MILLIS, now);
+        mDisplaced.values().removeIf(known -> now - known.mDisplacedAt > TOMBSTONE_RETENTION_MILLIS);
+        mLapsed.values().removeIf(known -> now - known.lapsedAt() > TOMBSTONE_RETENTION_MILLIS);
         mSuspensions.expire(now);
     }
 
     /** Forgets the targets that are only remembered; returns their ids. */
-    public List<String> forgetRemembered() {
+    public List<String> removeRestored() {
         List<String> ids =
                 mEntries.values().stream()
                         .map(entry -> entry.mReport)
-                        .filter(TargetReport::isRemembered)
+                        .filter(TargetReport::isRestored)
                         .map(TargetReport::id)
                         .toList();
         ids.forEach(mEntries::remove);
@@ -350,11 +350,11 @@
      * Returns whether a report of another service claims the id or the address of a target that was
      * heard.
      */
-    public boolean displaces(TargetReport report) {
+    public boolean conflictsWithOtherService(TargetReport report) {
         String id = report.incarnation().id();
         return mEntries.values().stream()
                 .map(entry -> entry.mReport)
-                .filter(known -> !known.isRemembered())
+                .filter(known -> !known.isRestored())
                 .filter(known -> !known.service().equals(report.service()))
                 .anyMatch(
                         known ->
@@ -368,9 +368,9 @@
     }
 
     /** Returns when a target was last heard, {@link #NEVER} if it isn't known. */
-    public long heardAt(String id) {
+    public long lastSeenAt(String id) {
         Entry entry = mEntries.get(id);
-        return entry == null ? NEVER : entry.mHeardAt;
+        return entry == null ? NEVER : entry.mLastSeenAt;
     }
 
     /** Returns the last report of each target. */
@@ -385,49 +385,49 @@
 
     /** Returns the departure of a target, if it has left. */
     public Optional<Departure> departure(String target) {
-        return mDepartures.of(target);
+        return mDepartures.find(target);
     }
 
     /**
      * Returns the departures since this was asked last of targets that didn't say that they are
      * gone.
      */
-    public List<Departure> takeLeft() {
-        List<Departure> left = mLeft.stream().flatMap(id -> mDepartures.of(id).stream()).toList();
-        mLeft.clear();
-        return left;
+    public List<Departure> takeInferredDepartures() {
+        List<Departure> departures = mInferredDepartures.stream().flatMap(id -> mDepartures.find(id).stream()).toList();
+        mInferredDepartures.clear();
+        return departures;
     }
 
     /** Where a target was that fell silent. */
-    private record Lapsed(String address, long at) {}
+    private record Lapsed(String address, long lapsedAt) {}
 
     /** A target whose address another one has. */
     private static final class Displaced {
-        final String mBy;
-        final long mAt;
-        long mHeardAgainAt = Long.MIN_VALUE;
+        final String mHolderId;
+        final long mDisplacedAt;
+        long mLastReportAt = Long.MIN_VALUE;
 
-        Displaced(String by, long at) {
-            mBy = by;
-            mAt = at;
+        Displaced(String holderId, long displacedAt) {
+            mHolderId = holderId;
+            mDisplacedAt = displacedAt;
         }
     }
 
     private static final class Entry {
-        final boolean mSucceeds;
-        final long mSince;
+        final boolean mReplacedEarlier;
+        final long mFirstSeenAt;
         TargetReport mReport;
-        long mHeardAt;
+        long mLastSeenAt;
 
         /** When the newest of its reports was heard. */
-        long mReportedAt;
+        long mLatestReportAt;
 
-        Entry(TargetReport report, long heardAt, boolean succeeds) {
-            mSucceeds = succeeds;
-            mSince = heardAt;
+        Entry(TargetReport report, long seenAt, boolean replacedEarlier) {
+            mReplacedEarlier = replacedEarlier;
+            mFirstSeenAt = seenAt;
             mReport = report;
-            mHeardAt = heardAt;
-            mReportedAt = heardAt;
+            mLastSeenAt = seenAt;
+            mLatestReportAt = seenAt;
         }
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/TargetReport.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/TargetReport.java
@@ -27,7 +27,7 @@
  * @param softwareVersion the version of its program
  * @param slots how many requests it runs at once
  * @param leaving whether it takes no new requests since it is about to end
- * @param coldMillis for how long it is still slow after its start
+ * @param coldRemainingMillis for how long it is still slow after its start
  * @param weights the version of each model's weights that it holds
  * @param sequence grows with each report of this target
  */
@@ -39,11 +39,11 @@
         String softwareVersion,
         int slots,
         boolean leaving,
-        long coldMillis,
+        long coldRemainingMillis,
         Map<String, Long> weights,
         long sequence) {
     /** The sequence of what is only remembered of a target: anything it says itself is newer. */
-    private static final long REMEMBERED = -1;
+    private static final long RESTORED_SEQUENCE = -1;
 
     /** Copies the weights. */
     public TargetReport {
@@ -56,7 +56,7 @@
     }
 
     /** Returns whether another report tells the same, but for when it was made. */
-    public boolean tellsTheSame(TargetReport other) {
+    public boolean isEquivalentTo(TargetReport other) {
         return id.equals(other.id)
                 && service.equals(other.service)
                 && address.equals(other.address)
@@ -79,18 +79,18 @@
      * Returns whether this takes the place of another report of the same target. Of two that were
      * made together the one that takes requests away counts.
      */
-    boolean replaces(TargetReport other) {
+    boolean supersedes(TargetReport other) {
         return sequence > other.sequence || sequence == other.sequence && leaving && !other.leaving;
     }
 
     /** Returns the report as one that a process remembers from before its restart. */
-    public TargetReport remembered() {
-        return with(leaving, weights, REMEMBERED);
+    public TargetReport asRestored() {
+        return with(leaving, weights, RESTORED_SEQUENCE);
     }
 
     /** Returns whether the target hasn't been heard since the process that tells this began. */
-    public boolean isRemembered() {
-        return sequence == REMEMBERED;
+    public boolean isRestored() {
+        return sequence == RESTORED_SEQUENCE;
     }
 
     private TargetReport with(
@@ -103,7 +103,7 @@
                 softwareVersion,
                 slots,
                 isLeaving,
-                coldMillis,
+                coldRemainingMillis,
                 otherWeights,
                 otherSequence);
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/instance/ControlLinkPlanner.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/instance/ControlLinkPlanner.java
@@ -33,42 +33,42 @@
  */
 public final class ControlLinkPlanner {
     /** One more than needed, so that the loss of one goes unnoticed. */
-    static final int LINKS = 2;
+    static final int NORMAL_LINKS = 2;
 
     /** A control process that confirms nothing for this long is left for another. */
-    static final long UNCONFIRMED_MILLIS = 1500;
+    static final long LINK_TIMEOUT_MILLIS = 1500;
 
     /** Without any confirmation for this long, more control processes are asked at once. */
-    static final long SEARCH_MILLIS = 1000;
+    static final long CONFIRMATION_MAX_AGE_MILLIS = 1000;
 
     /** So long after the one before, another one is asked. */
     static final long SEARCH_STEP_MILLIS = 250;
 
     /** A control process that confirmed nothing is tried after others for this long. */
-    static final long RETRY_MILLIS = 5000;
+    static final long FAILURE_BACKOFF_MILLIS = 5000;
 
     /** An address that control processes have left out for this long is out of their reach. */
-    static final long ABSENT_MILLIS = 2000;
+    static final long UNLISTED_MILLIS = 2000;
 
     /** An address that is neither a seed nor told by a control process is dropped after this. */
-    static final long FORGET_MILLIS = 120_000;
+    static final long ADDRESS_RETENTION_MILLIS = 120_000;
 
     private static final long NEVER = Long.MIN_VALUE;
 
     private final String mFailureDomain;
     private final int mMaxLinks;
-    private final int mFirst;
-    private final Map<String, Known> mKnown = new LinkedHashMap<>();
+    private final int mStartOffset;
+    private final Map<String, AddressState> mAddresses = new LinkedHashMap<>();
     private final Map<String, Link> mLinks = new LinkedHashMap<>();
     private long mConfirmedAt;
-    private long mToldAt;
+    private long mLastListAt;
 
-    private ControlLinkPlanner(String failureDomain, int toleratedLosses, int first, long now) {
+    private ControlLinkPlanner(String failureDomain, int toleratedLosses, int startOffset, long now) {
         mFailureDomain = failureDomain;
-        mMaxLinks = LINKS + toleratedLosses;
-        mFirst = first;
+        mMaxLinks = NORMAL_LINKS + toleratedLosses;
+        mStartOffset = startOffset;
         mConfirmedAt = now;
-        mToldAt = now;
+        mLastListAt = now;
     }
 
     /**
@@ -77,31 +77,31 @@
      * @param failureDomain where the entry stands; a control process there is preferred, since what
      *     crosses to another domain costs
      * @param toleratedLosses how many control processes may be lost at once
-     * @param first where among equal addresses to begin, so that entries spread over them
+     * @param startOffset where among equal addresses to begin, so that entries spread over them
      * @param now the present time in monotonic milliseconds, as in all other calls
      */
     public static ControlLinkPlanner create(
-            String failureDomain, int toleratedLosses, int first, long now) {
-        return new ControlLinkPlanner(failureDomain, toleratedLosses, first, now);
+            String failureDomain, int toleratedLosses, int startOffset, long now) {
+        return new ControlLinkPlanner(failureDomain, toleratedLosses, startOffset, now);
     }
 
     /** Takes the addresses that the settings name; those named before are ordinary ones now. */
     public void onSeeds(Collection<String> addresses, long now) {
-        mKnown.values().forEach(known -> known.mSeed = false);
+        mAddresses.values().forEach(state -> state.mIsSeed = false);
         for (String address : addresses) {
-            known(address, now).mSeed = true;
+            addressState(address, now).mIsSeed = true;
         }
     }
 
     /** Takes the addresses that a control process has in reach. */
-    public void onTold(Collection<String> addresses, long now) {
-        mToldAt = now;
-        addresses.forEach(address -> known(address, now).mToldAt = now);
+    public void onReachableAddresses(Collection<String> addresses, long now) {
+        mLastListAt = now;
+        addresses.forEach(address -> addressState(address, now).mListedAt = now);
     }
 
     /** Notes in which failure domain a control process stands. */
-    public void onDomain(String address, String failureDomain, long now) {
-        known(address, now).mDomain = failureDomain;
+    public void onFailureDomain(String address, String failureDomain, long now) {
+        addressState(address, now).mDomain = failureDomain;
     }
 
     /**
@@ -118,9 +118,9 @@
     }
 
     /** Returns whether a control process is known to stand in the entry's failure domain. */
-    public boolean isNear(String address) {
-        Known known = mKnown.get(address);
-        return known != null && mFailureDomain.equals(known.mDomain);
+    public boolean isInOwnDomain(String address) {
+        AddressState state = mAddresses.get(address);
+        return state != null && mFailureDomain.equals(state.mDomain);
     }
 
     /** Returns the time since a question was sent that any control process has confirmed. */
@@ -129,49 +129,49 @@
     }
 
     /** Returns how many addresses are known. */
-    public int known() {
-        return mKnown.size();
+    public int addressCount() {
+        return mAddresses.size();
     }
 
     /** Returns which streams to close and to open now; both count as done. */
     public Plan plan(long now) {
-        forgetOld(now);
+        expireAddresses(now);
         List<String> close = closeUnconfirmed(now);
         close.addAll(closeSurplus(now));
         List<String> open = new ArrayList<>();
-        int wanted = wanted(now);
+        int wanted = wantedLinks(now);
         while (mLinks.size() < wanted) {
-            Optional<String> next = next(now);
+            Optional<String> next = nextAddress(now);
             if (next.isEmpty()) {
                 break;
             }
             mLinks.put(next.get(), new Link(now));
-            mKnown.get(next.get()).mTriedAt = now;
+            mAddresses.get(next.get()).mTriedAt = now;
             open.add(next.get());
         }
         return new Plan(close, open);
     }
 
-    private Known known(String address, long now) {
-        return mKnown.computeIfAbsent(address, key -> new Known(now));
+    private AddressState addressState(String address, long now) {
+        return mAddresses.computeIfAbsent(address, key -> new AddressState(now));
     }
 
-    private void forgetOld(long now) {
-        mKnown.entrySet()
+    private void expireAddresses(long now) {
+        mAddresses.entrySet()
                 .removeIf(
                         entry ->
-                                !entry.getValue().mSeed
+                                !entry.getValue().mIsSeed
                                         && !mLinks.containsKey(entry.getKey())
-                                        && now - entry.getValue().mToldAt > FORGET_MILLIS);
+                                        && now - entry.getValue().mListedAt > ADDRESS_RETENTION_MILLIS);
     }
 
     private List<String> closeUnconfirmed(long now) {
         List<String> closed = new ArrayList<>();
         mLinks.forEach(
                 (address, link) -> {
-                    if (now - Math.max(link.mOpenedAt, link.mConfirmedAt) > UNCONFIRMED_MILLIS) {
+                    if (now - Math.max(link.mOpenedAt, link.mConfirmedAt) > LINK_TIMEOUT_MILLIS) {
                         closed.add(address);
-                        mKnown.get(address).mFailedAt = now;
+                        mAddresses.get(address).mFailedAt = now;
                     }
                 });
         closed.forEach(mLinks::remove);
@@ -184,55 +184,55 @@
                 mLinks.entrySet().stream()
                         .filter(entry -> entry.getValue().isConfirmed(now))
                         .map(Map.Entry::getKey)
-                        .sorted(Comparator.comparing(address -> !isNear(address)))
-                        .skip(LINKS)
+                        .sorted(Comparator.comparing(address -> !isInOwnDomain(address)))
+                        .skip(NORMAL_LINKS)
                         .toList();
         surplus.forEach(mLinks::remove);
         return surplus;
     }
 
-    private int wanted(long now) {
-        long searching = unconfirmedMillis(now) - SEARCH_MILLIS;
-        if (searching >= 0) {
-            return (int) Math.min(mMaxLinks, LINKS + 1 + searching / SEARCH_STEP_MILLIS);
+    private int wantedLinks(long now) {
+        long searchMillis = unconfirmedMillis(now) - CONFIRMATION_MAX_AGE_MILLIS;
+        if (searchMillis >= 0) {
+            return (int) Math.min(mMaxLinks, NORMAL_LINKS + 1 + searchMillis / SEARCH_STEP_MILLIS);
         }
         long confirmed = mLinks.values().stream().filter(link -> link.isConfirmed(now)).count();
-        boolean settled = confirmed == LINKS && mLinks.size() == LINKS;
-        boolean near = mLinks.keySet().stream().anyMatch(this::isNear);
-        return settled && !near && mKnown.keySet().stream().anyMatch(key -> mayBeNear(key, now))
-                ? LINKS + 1
-                : Math.max(LINKS, mLinks.size());
+        boolean settled = confirmed == NORMAL_LINKS && mLinks.size() == NORMAL_LINKS;
+        boolean hasOwnDomainLink = mLinks.keySet().stream().anyMatch(this::isInOwnDomain);
+        return settled && !hasOwnDomainLink && mAddresses.keySet().stream().anyMatch(address -> mayBeInOwnDomain(address, now))
+                ? NORMAL_LINKS + 1
+                : Math.max(NORMAL_LINKS, mLinks.size());
     }
 
     /** Returns whether a free address is in the own failure domain, or may be. */
-    private boolean mayBeNear(String address, long now) {
-        Known known = mKnown.get(address);
+    private boolean mayBeInOwnDomain(String address, long now) {
+        AddressState state = mAddresses.get(address);
         return !mLinks.containsKey(address)
-                && !known.hasFailed(now)
-                && !isAbsent(known)
-                && (known.mDomain == null || known.mDomain.equals(mFailureDomain));
+                && !state.hasFailed(now)
+                && !isUnlisted(state)
+                && (state.mDomain == null || state.mDomain.equals(mFailureDomain));
     }
 
-    private boolean isAbsent(Known known) {
-        return mToldAt - known.mToldAt > ABSENT_MILLIS;
+    private boolean isUnlisted(AddressState state) {
+        return mLastListAt - state.mListedAt > UNLISTED_MILLIS;
     }
 
-    private Optional<String> next(long now) {
-        List<String> all = new ArrayList<>(mKnown.keySet());
-        List<String> free = new ArrayList<>();
+    private Optional<String> nextAddress(long now) {
+        List<String> all = new ArrayList<>(mAddresses.keySet());
+        List<String> unlinked = new ArrayList<>();
         for (int i = 0; i < all.size(); i++) {
-            String address = all.get(Math.floorMod((long) mFirst + i, all.size()));
+            String address = all.get(Math.floorMod((long) mStartOffset + i, all.size()));
             if (!mLinks.containsKey(address)) {
-                free.add(address);
+                unlinked.add(address);
             }
         }
-        boolean near = mLinks.keySet().stream().anyMatch(this::isNear);
-        Comparator<String> order =
-                Comparator.<String, Boolean>comparing(key -> mKnown.get(key).hasFailed(now))
-                        .thenComparing(key -> isAbsent(mKnown.get(key)))
-                        .thenComparing(key -> !near && !mayBeNear(key, now))
-                        .thenComparing(key -> mKnown.get(key).mTriedAt);
-        return free.stream().min(order);
+        boolean hasOwnDomainLink = mLinks.keySet().stream().anyMatch(this::isInOwnDomain);
+        Comparator<String> preference =
+                Comparator.<String, Boolean>comparing(address -> mAddresses.get(address).hasFailed(now))
+                        .thenComparing(address -> isUnlisted(mAddresses.get(address)))
+                        .thenComparing(address -> !hasOwnDomainLink && !mayBeInOwnDomain(address, now))
+                        .thenComparing(address -> mAddresses.get(address).mTriedAt);
+        return unlinked.stream().min(preference);
     }
 
     /**
@@ -244,19 +244,19 @@
     public record Plan(List<String> close, List<String> open) {}
 
     /** What is known of an address. */
-    private static final class Known {
+    private static final class AddressState {
         private String mDomain;
-        private boolean mSeed;
-        private long mToldAt;
+        private boolean mIsSeed;
+        private long mListedAt;
         private long mTriedAt = NEVER;
         private long mFailedAt = NEVER;
 
-        Known(long toldAt) {
-            mToldAt = toldAt;
+        AddressState(long listedAt) {
+            mListedAt = listedAt;
         }
 
         boolean hasFailed(long now) {
-            return mFailedAt != NEVER && now - mFailedAt < RETRY_MILLIS;
+            return mFailedAt != NEVER && now - mFailedAt < FAILURE_BACKOFF_MILLIS;
         }
     }
 
@@ -270,7 +270,7 @@
         }
 
         boolean isConfirmed(long now) {
-            return mConfirmedAt != NEVER && now - mConfirmedAt <= SEARCH_MILLIS;
+            return mConfirmedAt != NEVER && now - mConfirmedAt <= CONFIRMATION_MAX_AGE_MILLIS;
         }
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/instance/InstanceTable.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/instance/InstanceTable.java
@@ -25,13 +25,13 @@
  *
  * <p>An instance that was not heard for the suspicion time is suspected. From who is heard and how
  * old each one's sign of a control leader is, the table tells a cut-off instance from a control
- * group that is down: see {@link #standing}.
+ * group that is down: see {@link #status}.
  */
 public final class InstanceTable {
     private final List<String> mOthers;
     private final long mSuspicionMillis;
     private final long mLeaderLeaseMillis;
-    private final Map<String, Heard> mHeard = new TreeMap<>();
+    private final Map<String, ReceivedHeartbeat> mLastHeartbeats = new TreeMap<>();
     private final long mStartedAt;
     private long mLeaderSeenAt = Long.MIN_VALUE;
     private String mLeader = "";
@@ -62,17 +62,17 @@
      * @return whether the instance is new or has restarted
      */
     public boolean onHeartbeat(InstanceState state, long now) {
-        Heard before = mHeard.get(state.id());
-        if (before != null && before.state().incarnation() > state.incarnation()) {
+        ReceivedHeartbeat previous = mLastHeartbeats.get(state.id());
+        if (previous != null && previous.state().incarnation() > state.incarnation()) {
             return false;
         }
-        mHeard.put(state.id(), new Heard(state, now));
-        long seenAt = now - state.leaderAgeMillis();
-        if (!state.leader().isEmpty() && seenAt > mLeaderSeenAt) {
-            mLeaderSeenAt = seenAt;
+        mLastHeartbeats.put(state.id(), new ReceivedHeartbeat(state, now));
+        long leaderSeenAt = now - state.leaderAgeMillis();
+        if (!state.leader().isEmpty() && leaderSeenAt > mLeaderSeenAt) {
+            mLeaderSeenAt = leaderSeenAt;
             mLeader = state.leader();
         }
-        return before == null || before.state().incarnation() != state.incarnation();
+        return previous == null || previous.state().incarnation() != state.incarnation();
     }
 
     /** Notes a direct sign of the leader, at a replica that hears it or is it. */
@@ -82,7 +82,7 @@
     }
 
     /** Returns the age of the newest sign of a leader, {@link Long#MAX_VALUE} if there was none. */
-    public long leaderAge(long now) {
+    public long leaderAgeMillis(long now) {
         return mLeaderSeenAt == Long.MIN_VALUE ? Long.MAX_VALUE : now - mLeaderSeenAt;
     }
 
@@ -94,28 +94,28 @@
     /** Returns the instances that are heard and not suspected at {@code now}. */
     public List<InstanceState> alive(long now) {
         List<InstanceState> alive = new ArrayList<>();
-        for (Heard heard : mHeard.values()) {
-            if (now - heard.at() <= mSuspicionMillis) {
-                alive.add(heard.state());
+        for (ReceivedHeartbeat heartbeat : mLastHeartbeats.values()) {
+            if (now - heartbeat.receivedAt() <= mSuspicionMillis) {
+                alive.add(heartbeat.state());
             }
         }
         return alive;
     }
 
     /** Returns what this instance may take itself for at {@code now}. */
-    public Standing standing(long now) {
-        if (leaderAge(now) <= mLeaderLeaseMillis) {
-            return Standing.CONNECTED;
+    public Status status(long now) {
+        if (leaderAgeMillis(now) <= mLeaderLeaseMillis) {
+            return Status.CONNECTED;
         }
         if (now - mStartedAt <= mLeaderLeaseMillis) {
-            return Standing.STARTING;
+            return Status.STARTING;
         }
         boolean majority = (alive(now).size() + 1) * 2 > mOthers.size() + 1;
-        return majority ? Standing.CONTROL_DOWN : Standing.CUT_OFF;
+        return majority ? Status.CONTROL_DOWN : Status.CUT_OFF;
     }
 
     /** How an instance stands towards the rest of its cell. */
-    public enum Standing {
+    public enum Status {
         /** A leader was seen within the lease: the configuration is current. */
         CONNECTED,
         /** Too early to tell. */
@@ -131,5 +131,5 @@
         }
     }
 
-    private record Heard(InstanceState state, long at) {}
+    private record ReceivedHeartbeat(InstanceState state, long receivedAt) {}
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/instance/TargetTable.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/instance/TargetTable.java
@@ -67,7 +67,7 @@
         if (known.record().incarnation() != record.incarnation()) {
             return Change.RESTARTED;
         }
-        return known.record().saysSameAs(record) ? Change.RENEWED : Change.UPDATED;
+        return known.record().equalsExceptSequence(record) ? Change.RENEWED : Change.UPDATED;
     }
 
     /**
@@ -139,7 +139,7 @@
         RESTARTED;
 
         /** Returns whether other instances should hear of it at once. */
-        public boolean isNews() {
+        public boolean needsPropagation() {
             return this == UPDATED || this == JOINED || this == RESTARTED;
         }
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/manifest/FleetState.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/manifest/FleetState.java
@@ -23,7 +23,7 @@
     private final TreeMap<String, Long> mWeights = new TreeMap<>();
     private long mVersion = -1;
     private byte[] mDocument = new byte[0];
-    private long mIndex;
+    private long mLastChangeIndex;
 
     private FleetState() {}
 
@@ -37,7 +37,7 @@
         FleetState state = new FleetState();
         state.mVersion = snapshot.version();
         state.mDocument = snapshot.document();
-        state.mIndex = snapshot.index();
+        state.mLastChangeIndex = snapshot.lastChangeIndex();
         state.mWeights.putAll(snapshot.weights());
         return state;
     }
@@ -54,13 +54,13 @@
             mWeights.put(c.model(), c.version());
             changed = true;
         }
-        mIndex = changed ? index : mIndex;
+        mLastChangeIndex = changed ? index : mLastChangeIndex;
         return new FleetResult(index, changed);
     }
 
     /** Returns the whole state. */
     public Snapshot snapshot() {
-        return new Snapshot(mVersion, mDocument, mIndex, new TreeMap<>(mWeights));
+        return new Snapshot(mVersion, mDocument, mLastChangeIndex, new TreeMap<>(mWeights));
     }
 
     /** Returns whether a manifest was ever published. */
@@ -79,8 +79,8 @@
     }
 
     /** Returns the index of the last command that changed the state. */
-    public long index() {
-        return mIndex;
+    public long lastChangeIndex() {
+        return mLastChangeIndex;
     }
 
     /** Returns the version of each model's weights that all engines shall hold. */
@@ -93,9 +93,9 @@
      *
      * @param version the newest manifest's version, -1 if there is none
      * @param document that manifest, compressed
-     * @param index the index of the last command that changed the state
+     * @param lastChangeIndex the index of the last command that changed the state
      * @param weights the named version of each model's weights
      */
     public record Snapshot(
-            long version, byte[] document, long index, SortedMap<String, Long> weights) {}
+            long version, byte[] document, long lastChangeIndex, SortedMap<String, Long> weights) {}
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/manifest/Limits.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/manifest/Limits.java
@@ -18,14 +18,14 @@
 /**
  * What a caller may send, and how long it may take.
  *
- * @param headerBytes the size of a request's line and headers at most
- * @param bodyBytes the size of a request's body at most
- * @param headerMillis within what time a request's headers must be here
- * @param idleMillis how long a connection may be without a request
+ * @param maxHeaderBytes the size of a request's line and headers at most
+ * @param maxBodyBytes the size of a request's body at most
+ * @param headerTimeoutMillis within what time a request's headers must be here
+ * @param idleTimeoutMillis how long a connection may be without a request
  */
-public record Limits(int headerBytes, int bodyBytes, long headerMillis, long idleMillis) {
+public record Limits(int maxHeaderBytes, int maxBodyBytes, long headerTimeoutMillis, long idleTimeoutMillis) {
     /** Returns what holds as long as no manifest says otherwise. */
-    public static Limits standard() {
+    public static Limits defaults() {
         return new Limits(16 << 10, 4 << 20, 3000, 15_000);
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/manifest/ManifestRules.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/manifest/ManifestRules.java
@@ -34,65 +34,65 @@
      * @throws QuilldykeException {@link ResultCode#MANIFEST_INVALID} with the first thing wrong
      */
     public static void check(Manifest manifest) throws QuilldykeException {
-        Optional<String> objection = objection(manifest);
-        if (objection.isPresent()) {
-            throw QuilldykeException.notRun(ResultCode.MANIFEST_INVALID, objection.get());
+        Optional<String> violation = findViolation(manifest);
+        if (violation.isPresent()) {
+            throw QuilldykeException.notRun(ResultCode.MANIFEST_INVALID, violation.get());
         }
     }
 
     /** Returns the first thing that is wrong with a manifest. */
-    public static Optional<String> objection(Manifest manifest) {
+    public static Optional<String> findViolation(Manifest manifest) {
         Set<String> services = new HashSet<>();
         for (Service service : manifest.services()) {
             if (!services.add(service.name())) {
                 return Optional.of("service " + service.name() + " stands there twice");
             }
         }
-        Set<String> places = new HashSet<>();
+        Set<String> hostsAndPrefixes = new HashSet<>();
         for (Route route : manifest.routes()) {
-            Optional<String> wrong = objection(route, services);
-            if (wrong.isPresent()) {
-                return wrong;
+            Optional<String> violation = findViolation(route, services);
+            if (violation.isPresent()) {
+                return violation;
             }
-            if (!places.add(route.host() + " " + route.pathPrefix())) {
+            if (!hostsAndPrefixes.add(route.host() + " " + route.pathPrefix())) {
                 return Optional.of("route " + route.name() + " has the place of another");
             }
         }
-        return objection(manifest.organisations());
+        return findViolation(manifest.organisations());
     }
 
-    private static Optional<String> objection(Route route, Set<String> services) {
-        String at = "route " + route.name();
+    private static Optional<String> findViolation(Route route, Set<String> services) {
+        String label = "route " + route.name();
         for (Route.Share share : route.shares()) {
             if (!services.contains(share.service())) {
-                return Optional.of(at + " names the unknown service " + share.service());
+                return Optional.of(label + " names the unknown service " + share.service());
             }
             if (share.weight() < 0) {
-                return Optional.of(at + " has a negative weight");
+                return Optional.of(label + " has a negative weight");
             }
         }
         if (route.totalWeight() <= 0) {
-            return Optional.of(at + " has no weight");
+            return Optional.of(label + " has no weight");
         }
         if (route.timeoutMillis() <= 0) {
-            return Optional.of(at + " has no timeout");
+            return Optional.of(label + " has no timeout");
         }
         String prefix = route.pathPrefix();
         if (!prefix.startsWith("/") || !prefix.endsWith("/")) {
-            return Optional.of(at + " has a path prefix without its slashes");
+            return Optional.of(label + " has a path prefix without its slashes");
         }
         return Optional.empty();
     }
 
-    private static Optional<String> objection(List<Organisation> organisations) {
-        Map<String, String> owners = new HashMap<>();
+    private static Optional<String> findViolation(List<Organisation> organisations) {
+        Map<String, String> ownersByKey = new HashMap<>();
         Set<String> names = new HashSet<>();
         for (Organisation organisation : organisations) {
             if (!names.add(organisation.name())) {
                 return Optional.of("organisation " + organisation.name() + " stands there twice");
             }
             for (String key : organisation.keys()) {
-                if (owners.putIfAbsent(key, organisation.name()) != null) {
+                if (ownersByKey.putIfAbsent(key, organisation.name()) != null) {
                     return Optional.of(
                             "organisation " + organisation.name() + " shares a key with another");
                 }
--- a/quilldyke-core/src/main/java/org/quilldyke/manifest/Route.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/manifest/Route.java
@@ -25,13 +25,13 @@
  * @param pathPrefix how their path begins; starts and ends with a slash
  * @param kind what may be done with the requests
  * @param timeoutMillis how long a caller is kept waiting at most
- * @param objectiveMillis within what time an answer, or the first event of one, is good
- * @param pauseMillis how long the pause between two events may be
+ * @param latencyObjectiveMillis within what time an answer, or the first event of one, is good
+ * @param eventGapMillis how long the pause between two events may be
  * @param priority the rank; 0 goes first
  * @param shares the services, with their shares of the requests
  * @param maxAttempts how many targets may run one request at most
- * @param open whether requests need no key
- * @param usesModel whether the requests carry prompts, whose parts targets keep
+ * @param allowsAnonymous whether requests need no key
+ * @param carriesPrompts whether the requests carry prompts, whose parts targets keep
  * @param resumable whether a stream may go on at another target after a given event
  */
 public record Route(
@@ -40,13 +40,13 @@
         String pathPrefix,
         RequestKind kind,
         long timeoutMillis,
-        long objectiveMillis,
-        long pauseMillis,
+        long latencyObjectiveMillis,
+        long eventGapMillis,
         int priority,
         List<Share> shares,
         int maxAttempts,
-        boolean open,
-        boolean usesModel,
+        boolean allowsAnonymous,
+        boolean carriesPrompts,
         boolean resumable) {
     /** Copies the shares. */
     public Route {
@@ -57,8 +57,8 @@
      * Returns for how long a caller waits for the next event before it leaves: two seconds, four
      * objectives or eight pauses, whatever is longest, as the users' platform has it.
      */
-    public long callerPatienceMillis() {
-        return Math.max(2000, Math.max(4 * objectiveMillis, 8 * pauseMillis));
+    public long callerTimeoutMillis() {
+        return Math.max(2000, Math.max(4 * latencyObjectiveMillis, 8 * eventGapMillis));
     }
 
     /** Returns whether a request that may have run may be sent to another target. */
@@ -77,10 +77,10 @@
      * @param draw an evenly distributed number, the same for each try of one request
      */
     public String serviceFor(long draw) {
-        long at = Math.floorMod(draw, totalWeight());
+        long remaining = Math.floorMod(draw, totalWeight());
         for (Share share : shares) {
-            at -= share.weight();
-            if (at < 0) {
+            remaining -= share.weight();
+            if (remaining < 0) {
                 return share.service();
             }
         }
--- a/quilldyke-core/src/main/java/org/quilldyke/manifest/RouteTable.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/manifest/RouteTable.java
@@ -28,23 +28,23 @@
 /** A manifest made ready to look up routes, services and keys. Immutable. */
 public final class RouteTable {
     private final Manifest mManifest;
-    private final Map<String, List<Route>> mRoutes = new HashMap<>();
+    private final Map<String, List<Route>> mRoutesByHost = new HashMap<>();
     private final Map<String, Service> mServices = new HashMap<>();
-    private final Map<String, Organisation> mOwners = new HashMap<>();
-    private final String mCommonCache;
+    private final Map<String, Organisation> mOrganisationsByKey = new HashMap<>();
+    private final String mSharedCacheScope;
 
     private RouteTable(Manifest manifest) {
         mManifest = manifest;
-        mCommonCache = commonCacheOf(manifest);
+        mSharedCacheScope = sharedCacheScopeOf(manifest);
         for (Route route : manifest.routes()) {
-            mRoutes.computeIfAbsent(route.host(), host -> new ArrayList<>()).add(route);
+            mRoutesByHost.computeIfAbsent(route.host(), host -> new ArrayList<>()).add(route);
         }
         Comparator<Route> longestFirst =
                 Comparator.comparingInt((Route route) -> route.pathPrefix().length()).reversed();
-        mRoutes.values().forEach(routes -> routes.sort(longestFirst));
+        mRoutesByHost.values().forEach(routes -> routes.sort(longestFirst));
         manifest.services().forEach(service -> mServices.put(service.name(), service));
         for (Organisation organisation : manifest.organisations()) {
-            organisation.keys().forEach(key -> mOwners.put(key, organisation));
+            organisation.keys().forEach(key -> mOrganisationsByKey.put(key, organisation));
         }
     }
 
@@ -65,7 +65,7 @@
      * @param path without a query
      */
     public Optional<Route> route(String host, String path) {
-        for (Route route : mRoutes.getOrDefault(hostName(host), List.of())) {
+        for (Route route : mRoutesByHost.getOrDefault(hostName(host), List.of())) {
             if (path.startsWith(route.pathPrefix())) {
                 return Optional.of(route);
             }
@@ -79,12 +79,12 @@
     }
 
     /** Returns who holds a key. */
-    public Optional<Organisation> owner(String key) {
-        return Optional.ofNullable(mOwners.get(key));
+    public Optional<Organisation> organisationOfKey(String key) {
+        return Optional.ofNullable(mOrganisationsByKey.get(key));
     }
 
     /** Returns whether requests need a key, but for those of open routes. */
-    public boolean needsKeys() {
+    public boolean requiresKeys() {
         return !mManifest.organisations().isEmpty();
     }
 
@@ -93,11 +93,11 @@
      * another one whenever an organisation is isolated or no longer so: what it left in the common
      * cache, or would find there, belongs to others.
      */
-    public String commonCache() {
-        return mCommonCache;
+    public String sharedCacheScope() {
+        return mSharedCacheScope;
     }
 
-    private static String commonCacheOf(Manifest manifest) {
+    private static String sharedCacheScopeOf(Manifest manifest) {
         TreeSet<String> isolated = new TreeSet<>();
         manifest.organisations().stream()
                 .filter(Organisation::isolated)
--- a/quilldyke-core/src/main/java/org/quilldyke/manifest/Service.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/manifest/Service.java
@@ -25,34 +25,34 @@
  * @param healthPath where a target tells whether it is healthy
  * @param maxConnections how many connections a target takes from all instances together; 0 if
  *     nothing is said
- * @param engines what its targets are like, if they are engines
- * @param store the store of kept cache that the service is, if it is one
+ * @param engineSpec what its targets are like, if they are engines
+ * @param kvStore the store of kept cache that the service is, if it is one
  */
 public record Service(
         String name,
         String healthPath,
         int maxConnections,
-        Optional<EngineShape> engines,
-        Optional<KvStore> store) {
+        Optional<EngineSpec> engineSpec,
+        Optional<KvStore> kvStore) {
     /**
      * What the engines of a service are like.
      *
      * @param slots how many requests an engine runs at once
-     * @param kvTokens how many tokens an engine's memory holds
-     * @param bytesPerToken the size of a token's cache
-     * @param linkMegabits the speed of an engine's link, in megabits a second
-     * @param eventReaders how many calls for cache events an engine holds open at once
+     * @param kvCapacityTokens how many tokens an engine's memory holds
+     * @param kvBytesPerToken the size of a token's cache
+     * @param linkMegabitsPerSecond the speed of an engine's link, in megabits a second
+     * @param maxEventCalls how many calls for cache events an engine holds open at once
      * @param models the models that the engines run
      */
-    public record EngineShape(
+    public record EngineSpec(
             int slots,
-            long kvTokens,
-            long bytesPerToken,
-            double linkMegabits,
-            int eventReaders,
+            long kvCapacityTokens,
+            long kvBytesPerToken,
+            double linkMegabitsPerSecond,
+            int maxEventCalls,
             List<String> models) {
         /** Copies the models. */
-        public EngineShape {
+        public EngineSpec {
             models = List.copyOf(models);
         }
     }
@@ -62,9 +62,9 @@
      *
      * @param address where engines reach it
      * @param failureDomain where it stands
-     * @param kvTokens how many tokens it holds
-     * @param linkMegabits the speed of its link, in megabits a second
+     * @param kvCapacityTokens how many tokens it holds
+     * @param linkMegabitsPerSecond the speed of its link, in megabits a second
      */
     public record KvStore(
-            String address, String failureDomain, long kvTokens, double linkMegabits) {}
+            String address, String failureDomain, long kvCapacityTokens, double linkMegabitsPerSecond) {}
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/TargetScorer.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/TargetScorer.java
@@ -124,7 +124,7 @@
         boolean outdated = outdatedMillis(state, prompt, now) > OUTDATED_WEIGHTS_MILLIS;
         double costToOthers = mCostModel.costToOthers(missingTokens, state.openRequests());
         double cost =
-                PlacementCost.lateness(expectedMillis, request.route().objectiveMillis())
+                PlacementCost.lateness(expectedMillis, request.route().latencyObjectiveMillis())
                         + prefillCost(state, locations, cachedTokens, heldTokens)
                         + costToOthers
                         + (outdated ? PlacementCost.OUTDATED_WEIGHTS_COST_TOKENS : 0)
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/TargetSelector.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/TargetSelector.java
@@ -111,7 +111,7 @@
     public void onServices(List<Service> services) {
         mStore.onAddress(
                 services.stream()
-                        .flatMap(service -> service.store().stream())
+                        .flatMap(service -> service.kvStore().stream())
                         .map(Service.KvStore::address)
                         .findFirst()
                         .orElse(""));
--- a/quilldyke-core/src/main/java/org/quilldyke/weights/LoadPlanner.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/weights/LoadPlanner.java
@@ -104,7 +104,7 @@
         if (job == null) {
             return List.of();
         }
-        if (!Incarnation.ofKey(target).mayHaveSaid(status.startedAtMillis())) {
+        if (!Incarnation.ofKey(target).mayMatch(status.startedAtMillis())) {
             return onStatusUnavailable(target, now);
         }
         job.mStatusPending = false;
--- a/quilldyke-core/src/main/java/org/quilldyke/weights/OrderOutcome.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/weights/OrderOutcome.java
@@ -35,9 +35,9 @@
      * gave it.
      *
      * @param orderedKey the key of the incarnation that was ordered
-     * @param startedAtMillis the birth that the answer tells, {@link Incarnation#UNTOLD} if none
+     * @param startedAtMillis the birth that the answer tells, {@link Incarnation#UNKNOWN_START} if none
      */
     public OrderOutcome ifFrom(String orderedKey, long startedAtMillis) {
-        return Incarnation.ofKey(orderedKey).mayHaveSaid(startedAtMillis) ? this : UNKNOWN;
+        return Incarnation.ofKey(orderedKey).mayMatch(startedAtMillis) ? this : UNKNOWN;
     }
 }
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/ForwardingSimulation.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/ForwardingSimulation.java
@@ -408,7 +408,7 @@
                 && mRoute.resumable()
                 && (mMayHaveRun.size() < mRoute.maxAttempts() || !mLeftRunning.isEmpty())
                 && mNow + MIN_RESUME_MILLIS < mRoute.timeoutMillis()
-                && mNow + MIN_RESUME_MILLIS < mInterruptedAt + mRoute.callerPatienceMillis();
+                && mNow + MIN_RESUME_MILLIS < mInterruptedAt + mRoute.callerTimeoutMillis();
     }
 
     private void askSuccessor(Optional<Step.Send> send) {
--- a/quilldyke-core/src/test/java/org/quilldyke/engine/IncarnationTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/engine/IncarnationTest.java
@@ -21,39 +21,39 @@
 
 class IncarnationTest {
     @Test
-    void keyNamesIdAndBirth() {
-        Incarnation told = new Incarnation("i-1", 1_700_000_000_123L);
+    void keyContainsIdAndStart() {
+        Incarnation incarnation = new Incarnation("i-1", 1_700_000_000_123L);
 
-        assertThat(told.key()).isNotEqualTo(new Incarnation("i-1", 1_700_000_000_124L).key());
-        assertThat(Incarnation.ofKey(told.key())).isEqualTo(told);
+        assertThat(incarnation.key()).isNotEqualTo(new Incarnation("i-1", 1_700_000_000_124L).key());
+        assertThat(Incarnation.ofKey(incarnation.key())).isEqualTo(incarnation);
         Incarnation before1970 = new Incarnation("i-1", -5);
         assertThat(Incarnation.ofKey(before1970.key())).isEqualTo(before1970);
     }
 
     @Test
-    void withoutABirthTheKeyIsTheId() {
-        assertThat(Incarnation.withoutBirth("i-1").key()).isEqualTo("i-1");
+    void keyWithoutStartIsId() {
+        assertThat(Incarnation.withoutStart("i-1").key()).isEqualTo("i-1");
         assertThat(Incarnation.ofKey("10.0.0.1:80"))
-                .isEqualTo(Incarnation.withoutBirth("10.0.0.1:80"));
-        assertThat(Incarnation.ofKey("i#x")).isEqualTo(Incarnation.withoutBirth("i#x"));
+                .isEqualTo(Incarnation.withoutStart("10.0.0.1:80"));
+        assertThat(Incarnation.ofKey("i#x")).isEqualTo(Incarnation.withoutStart("i#x"));
     }
 
     @Test
-    void answerOfAnotherIncarnationIsNotItsOwn() {
+    void answerOfOtherIncarnationDoesNotMatch() {
         Incarnation present = new Incarnation("i-1", 7);
 
-        assertThat(present.mayHaveSaid(7)).isTrue();
-        assertThat(present.mayHaveSaid(5)).isFalse();
-        assertThat(present.mayHaveSaid(9)).isFalse();
-        assertThat(present.isOutlivedBy(5)).isFalse();
-        assertThat(present.isOutlivedBy(7)).isFalse();
-        assertThat(present.isOutlivedBy(9)).isTrue();
+        assertThat(present.mayMatch(7)).isTrue();
+        assertThat(present.mayMatch(5)).isFalse();
+        assertThat(present.mayMatch(9)).isFalse();
+        assertThat(present.isSupersededBy(5)).isFalse();
+        assertThat(present.isSupersededBy(7)).isFalse();
+        assertThat(present.isSupersededBy(9)).isTrue();
     }
 
     @Test
-    void whereNoBirthIsToldAnAnswerIsTakenAsBefore() {
-        assertThat(Incarnation.withoutBirth("i-1").mayHaveSaid(9)).isTrue();
-        assertThat(Incarnation.withoutBirth("i-1").isOutlivedBy(9)).isFalse();
-        assertThat(new Incarnation("i-1", 7).mayHaveSaid(Incarnation.UNTOLD)).isTrue();
+    void unknownStartMatchesAnyAnswer() {
+        assertThat(Incarnation.withoutStart("i-1").mayMatch(9)).isTrue();
+        assertThat(Incarnation.withoutStart("i-1").isSupersededBy(9)).isFalse();
+        assertThat(new Incarnation("i-1", 7).mayMatch(Incarnation.UNKNOWN_START)).isTrue();
     }
 }
--- a/quilldyke-core/src/test/java/org/quilldyke/engine/LatestIncarnationsTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/engine/LatestIncarnationsTest.java
@@ -23,44 +23,44 @@
     private final LatestIncarnations mLatest = LatestIncarnations.create();
 
     @Test
-    void laterPutsAnEndToEarlierAndNeverTheOtherWay() {
-        assertThat(mLatest.note(new Incarnation("a", 5))).isEmpty();
-        assertThat(mLatest.note(new Incarnation("a", 5))).isEmpty();
-        assertThat(mLatest.note(new Incarnation("a", 7))).hasValue(new Incarnation("a", 5));
-        assertThat(mLatest.note(new Incarnation("a", 5))).isEmpty();
+    void onlyLaterIncarnationSupersedes() {
+        assertThat(mLatest.observe(new Incarnation("a", 5))).isEmpty();
+        assertThat(mLatest.observe(new Incarnation("a", 5))).isEmpty();
+        assertThat(mLatest.observe(new Incarnation("a", 7))).hasValue(new Incarnation("a", 5));
+        assertThat(mLatest.observe(new Incarnation("a", 5))).isEmpty();
 
-        assertThat(mLatest.isPast(new Incarnation("a", 5))).isTrue();
-        assertThat(mLatest.isPast(new Incarnation("a", 7))).isFalse();
-        assertThat(mLatest.isPast(new Incarnation("a", 8))).isFalse();
-        assertThat(mLatest.of("a")).hasValue(new Incarnation("a", 7));
+        assertThat(mLatest.isSuperseded(new Incarnation("a", 5))).isTrue();
+        assertThat(mLatest.isSuperseded(new Incarnation("a", 7))).isFalse();
+        assertThat(mLatest.isSuperseded(new Incarnation("a", 8))).isFalse();
+        assertThat(mLatest.find("a")).hasValue(new Incarnation("a", 7));
     }
 
     /** Clocks of engines may be off. */
     @Test
-    void birthsOfTwoIdsAreNotCompared() {
-        mLatest.note(new Incarnation("a", 7));
+    void startsOfDifferentIdsAreNotCompared() {
+        mLatest.observe(new Incarnation("a", 7));
 
-        assertThat(mLatest.isPast(new Incarnation("b", 5))).isFalse();
+        assertThat(mLatest.isSuperseded(new Incarnation("b", 5))).isFalse();
     }
 
     @Test
-    void whoTellsNoBirthIsEarlierThanAnyWhoDoes() {
-        mLatest.note(Incarnation.withoutBirth("a"));
+    void incarnationWithoutStartIsEarliest() {
+        mLatest.observe(Incarnation.withoutStart("a"));
 
-        assertThat(mLatest.isPast(Incarnation.withoutBirth("a"))).isFalse();
-        assertThat(mLatest.note(new Incarnation("a", -3))).hasValue(Incarnation.withoutBirth("a"));
-        assertThat(mLatest.isPast(Incarnation.withoutBirth("a"))).isTrue();
+        assertThat(mLatest.isSuperseded(Incarnation.withoutStart("a"))).isFalse();
+        assertThat(mLatest.observe(new Incarnation("a", -3))).hasValue(Incarnation.withoutStart("a"));
+        assertThat(mLatest.isSuperseded(Incarnation.withoutStart("a"))).isTrue();
     }
 
     @Test
-    void whoWasHeardOfLongestAgoYields() {
+    void leastRecentlyUsedIdIsEvicted() {
         for (int i = 0; i < LatestIncarnations.MAX_IDS; i++) {
-            mLatest.note(new Incarnation("i" + i, 7));
+            mLatest.observe(new Incarnation("i" + i, 7));
         }
-        mLatest.note(new Incarnation("i0", 7));
-        mLatest.note(new Incarnation("one more", 7));
+        mLatest.observe(new Incarnation("i0", 7));
+        mLatest.observe(new Incarnation("one more", 7));
 
-        assertThat(mLatest.of("i0")).isPresent();
-        assertThat(mLatest.of("i1")).isEmpty();
+        assertThat(mLatest.find("i0")).isPresent();
+        assertThat(mLatest.find("i1")).isEmpty();
     }
 }
--- a/quilldyke-core/src/test/java/org/quilldyke/engine/ReportRulesTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/engine/ReportRulesTest.java
@@ -27,50 +27,50 @@
 import org.quilldyke.ResultCode;
 
 class ReportRulesTest {
-    private static final TargetReport GOOD = report("i-7f3a91c2", "s", "10.1.2.3:80", 4, 0, 1, 7);
+    private static final TargetReport VALID = report("i-7f3a91c2", "s", "10.1.2.3:80", 4, 0, 1, 7);
 
     @Test
-    void soundReportIsTaken() throws Exception {
-        assertThat(ReportRules.checked(GOOD)).isEqualTo(GOOD);
-        assertThat(ReportRules.objection(GOOD.remembered())).isEqualTo(Optional.empty());
+    void validReportIsAccepted() throws Exception {
+        assertThat(ReportRules.validated(VALID)).isEqualTo(VALID);
+        assertThat(ReportRules.findViolation(VALID.asRestored())).isEqualTo(Optional.empty());
     }
 
     @Test
-    void eachRuleHasItsCode() {
-        check(ResultCode.REPORT_ID, report("", "s", "10.1.2.3:80", 4, 0, 1, 7));
-        check(ResultCode.REPORT_ID, report("a/b", "s", "10.1.2.3:80", 4, 0, 1, 7));
-        check(ResultCode.REPORT_ID, report("i\r\n", "s", "10.1.2.3:80", 4, 0, 1, 7));
-        check(ResultCode.REPORT_ID, report("x".repeat(129), "s", "10.1.2.3:80", 4, 0, 1, 7));
-        check(ResultCode.REPORT_ADDRESS, report("i", "s", "10.1.2.3:0", 4, 0, 1, 7));
-        check(ResultCode.REPORT_ADDRESS, report("i", "s", "host:80", 4, 0, 1, 7));
-        check(ResultCode.REPORT_INVALID, report("i", "", "10.1.2.3:80", 4, 0, 1, 7));
-        check(ResultCode.REPORT_INVALID, report("i", "\ud800", "10.1.2.3:80", 4, 0, 1, 7));
-        check(ResultCode.REPORT_RANGE, report("i", "s", "10.1.2.3:80", 0, 0, 1, 7));
-        check(ResultCode.REPORT_RANGE, report("i", "s", "10.1.2.3:80", 2_000_000_000, 0, 1, 7));
-        check(ResultCode.REPORT_RANGE, report("i", "s", "10.1.2.3:80", 4, -1, 1, 7));
-        check(ResultCode.REPORT_RANGE, report("i", "s", "10.1.2.3:80", 4, 0, -1, 7));
-        check(ResultCode.REPORT_RANGE, report("i", "s", "10.1.2.3:80", 4, 0, 1, -2));
-        check(ResultCode.REPORT_RANGE, report("i", "s", "10.1.2.3:80", 4, 0, 1, Long.MAX_VALUE));
+    void eachViolationHasItsCode() {
+        assertRejected(ResultCode.REPORT_ID, report("", "s", "10.1.2.3:80", 4, 0, 1, 7));
+        assertRejected(ResultCode.REPORT_ID, report("a/b", "s", "10.1.2.3:80", 4, 0, 1, 7));
+        assertRejected(ResultCode.REPORT_ID, report("i\r\n", "s", "10.1.2.3:80", 4, 0, 1, 7));
+        assertRejected(ResultCode.REPORT_ID, report("x".repeat(129), "s", "10.1.2.3:80", 4, 0, 1, 7));
+        assertRejected(ResultCode.REPORT_ADDRESS, report("i", "s", "10.1.2.3:0", 4, 0, 1, 7));
+        assertRejected(ResultCode.REPORT_ADDRESS, report("i", "s", "host:80", 4, 0, 1, 7));
+        assertRejected(ResultCode.REPORT_INVALID, report("i", "", "10.1.2.3:80", 4, 0, 1, 7));
+        assertRejected(ResultCode.REPORT_INVALID, report("i", "\ud800", "10.1.2.3:80", 4, 0, 1, 7));
+        assertRejected(ResultCode.REPORT_RANGE, report("i", "s", "10.1.2.3:80", 0, 0, 1, 7));
+        assertRejected(ResultCode.REPORT_RANGE, report("i", "s", "10.1.2.3:80", 2_000_000_000, 0, 1, 7));
+        assertRejected(ResultCode.REPORT_RANGE, report("i", "s", "10.1.2.3:80", 4, -1, 1, 7));
+        assertRejected(ResultCode.REPORT_RANGE, report("i", "s", "10.1.2.3:80", 4, 0, -1, 7));
+        assertRejected(ResultCode.REPORT_RANGE, report("i", "s", "10.1.2.3:80", 4, 0, 1, -2));
+        assertRejected(ResultCode.REPORT_RANGE, report("i", "s", "10.1.2.3:80", 4, 0, 1, Long.MAX_VALUE));
     }
 
     @Test
     void weightsAreBounded() {
-        Map<String, Long> many = new HashMap<>();
+        Map<String, Long> tooMany = new HashMap<>();
         for (int i = 0; i <= ReportRules.MAX_MODELS; i++) {
-            many.put("m" + i, 1L);
+            tooMany.put("m" + i, 1L);
         }
 
-        assertThat(ReportRules.objection(many)).isEqualTo(Optional.of(ResultCode.REPORT_RANGE));
-        assertThat(ReportRules.objection(Map.of("", 1L)))
+        assertThat(ReportRules.findViolation(tooMany)).isEqualTo(Optional.of(ResultCode.REPORT_RANGE));
+        assertThat(ReportRules.findViolation(Map.of("", 1L)))
                 .isEqualTo(Optional.of(ResultCode.REPORT_INVALID));
     }
 
     @Test
-    void addressIsIpAndPort() {
-        for (String good : new String[] {"1.1.1.1:1", "255.255.255.255:65535", "10.0.0.9:8080"}) {
-            assertWithMessage(good).that(SocketAddresses.isIpAndPort(good)).isTrue();
+    void addressMustBeIpAndPort() {
+        for (String valid : new String[] {"1.1.1.1:1", "255.255.255.255:65535", "10.0.0.9:8080"}) {
+            assertWithMessage(valid).that(SocketAddresses.isIpAndPort(valid)).isTrue();
         }
-        for (String bad :
+        for (String invalid :
                 new String[] {
                     "",
                     ":",
@@ -85,13 +85,13 @@
                     "1.1.1.1:1\n",
                     "[::1]:1"
                 }) {
-            assertWithMessage(bad).that(SocketAddresses.isIpAndPort(bad)).isFalse();
+            assertWithMessage(invalid).that(SocketAddresses.isIpAndPort(invalid)).isFalse();
         }
     }
 
-    private static void check(ResultCode code, TargetReport report) {
+    private static void assertRejected(ResultCode code, TargetReport report) {
         QuilldykeException e =
-                assertThrows(QuilldykeException.class, () -> ReportRules.checked(report));
+                assertThrows(QuilldykeException.class, () -> ReportRules.validated(report));
         assertThat(e.code()).isEqualTo(code);
     }
 
--- a/quilldyke-core/src/test/java/org/quilldyke/engine/TargetRegistryTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/engine/TargetRegistryTest.java
@@ -25,17 +25,17 @@
     private final TargetRegistry mRegistry = TargetRegistry.create();
 
     @Test
-    void lateReportChangesNothing() {
+    void reportWithLowerSequenceIsIgnored() {
         assertThat(mRegistry.onReport(report("a", "1:1", 5, true), 100)).isTrue();
 
         assertThat(mRegistry.onReport(report("a", "1:1", 4, false), 200)).isFalse();
 
         assertThat(mRegistry.report("a").get().leaving()).isTrue();
-        assertThat(mRegistry.heardAt("a")).isEqualTo(200);
+        assertThat(mRegistry.lastSeenAt("a")).isEqualTo(200);
     }
 
     @Test
-    void reportThatTellsTheSameIsNoNews() {
+    void equivalentReportIsNoChange() {
         mRegistry.onReport(report("a", "1:1", 1, false), 0);
 
         assertThat(mRegistry.onReport(report("a", "1:1", 2, false), 10)).isFalse();
@@ -43,15 +43,15 @@
     }
 
     @Test
-    void whoIsGoneStaysGoneWhateverComesLate() {
+    void lateReportDoesNotRestoreDepartedTarget() {
         mRegistry.onReport(report("a", "1:1", 1, false), 0);
 
-        assertThat(mRegistry.onGone("a", 10)).isTrue();
-        assertThat(mRegistry.onGone("a", 11)).isFalse();
+        assertThat(mRegistry.onPermanentDeparture("a", 10)).isTrue();
+        assertThat(mRegistry.onPermanentDeparture("a", 11)).isFalse();
 
         assertThat(mRegistry.onReport(report("a", "1:1", 9, false), 20)).isFalse();
         assertThat(mRegistry.reports()).isEmpty();
-        assertThat(mRegistry.departures()).containsExactly(Departure.forGood("a", 10));
+        assertThat(mRegistry.departures()).containsExactly(Departure.permanent("a", 10));
     }
 
     /**
@@ -63,20 +63,20 @@
      * processes kept it alive between them. The evidence: this test on the code before.
      */
     @Test
-    void departureThatIsToldAnewIsForgottenInTime() {
-        mRegistry.onGone("a", 0);
-        long told = TargetRegistry.GONE_KEPT_MILLIS / 2;
+    void repeatedDepartureDoesNotExtendRetention() {
+        mRegistry.onPermanentDeparture("a", 0);
+        long repeatedAt = TargetRegistry.TOMBSTONE_RETENTION_MILLIS / 2;
 
-        assertThat(mRegistry.onDeparture(Departure.forGood("a", told))).isFalse();
+        assertThat(mRegistry.onDeparture(Departure.permanent("a", repeatedAt))).isFalse();
 
-        mRegistry.forgetOld(TargetRegistry.GONE_KEPT_MILLIS);
+        mRegistry.expireTombstones(TargetRegistry.TOMBSTONE_RETENTION_MILLIS);
         assertThat(mRegistry.departures()).hasSize(1);
-        mRegistry.forgetOld(TargetRegistry.GONE_KEPT_MILLIS + 1);
+        mRegistry.expireTombstones(TargetRegistry.TOMBSTONE_RETENTION_MILLIS + 1);
         assertThat(mRegistry.departures()).isEmpty();
     }
 
     @Test
-    void silentTargetLapsesAndIsBackWithItsNextReport() {
+    void silentTargetLapsesAndReturnsWithNextReport() {
         mRegistry.onReport(report("a", "1:1", 1, false), 0);
         mRegistry.onReport(report("b", "1:2", 1, false), 0);
         mRegistry.onAlive("b", 900);
@@ -86,19 +86,19 @@
     }
 
     @Test
-    void addressBelongsToWhoWasHeardThereLast() {
+    void addressBelongsToLatestReporter() {
         mRegistry.onReport(report("a", "1:1", 50, false), 0);
 
         mRegistry.onReport(report("b", "1:1", 1, false), 10);
 
         assertThat(ids(mRegistry.reports())).containsExactly("b");
-        assertThat(mRegistry.takeDropped()).containsExactly("a");
-        assertThat(mRegistry.takeDropped()).isEmpty();
+        assertThat(mRegistry.takeDisplaced()).containsExactly("a");
+        assertThat(mRegistry.takeDisplaced()).isEmpty();
     }
 
     /** A report was held up by a cut until its sender had crashed and started again. */
     @Test
-    void reportOfAnEarlierIncarnationThatComesLateIsIgnored() {
+    void lateReportOfDisplacedTargetIsIgnored() {
         mRegistry.onReport(report("a", "1:1", 50, false), 0);
         mRegistry.onReport(report("b", "1:1", 1, false), 10);
 
@@ -111,7 +111,7 @@
     }
 
     @Test
-    void reportOfATargetThatHadLapsedIsIgnoredToo() {
+    void lateReportOfLapsedTargetIsIgnoredAfterAddressReuse() {
         mRegistry.onReport(report("a", "1:1", 50, false), 0);
         mRegistry.lapse(500, 1000);
         mRegistry.onReport(report("b", "1:1", 1, false), 1100);
@@ -124,7 +124,7 @@
      * What seems a new incarnation may be the late report of one that this instance didn't know.
      */
     @Test
-    void targetThatReportsOnWhileItsRivalIsSilentIsBack() {
+    void displacedTargetReturnsWhileAddressHolderIsSilent() {
         mRegistry.onReport(report("b", "1:1", 7, false), 0);
         mRegistry.onReport(report("a", "1:1", 50, false), 10);
         assertThat(ids(mRegistry.reports())).containsExactly("a");
@@ -136,8 +136,8 @@
 
     /** An entry hears of a target only once what the control processes make of its reports. */
     @Test
-    void followerTakesWhatWasJudged() {
-        TargetRegistry follower = TargetRegistry.following();
+    void followerAcceptsReportsOfDisplacedTargets() {
+        TargetRegistry follower = TargetRegistry.createFollower();
         follower.onReport(report("b", "1:1", 7, false), 0);
         follower.onReport(report("a", "1:1", 50, false), 10);
 
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void weightsThatWereSeenGoBeforeThoseReported() {
+    void observedWeightsOverrideReportedOnes() {
         mRegistry.onReport(report("a", "1:1", 1, false), 0);
 
         mRegistry.onWeights("a", "m", 3);
@@ -157,18 +157,18 @@
 
     /** Its counts start anew, and it may stand elsewhere. */
     @Test
-    void laterIncarnationEndsTheEarlierAtOnce() {
+    void laterIncarnationSupersedesEarlierAtOnce() {
         mRegistry.onReport(report("a#5", "1:1", 50, false), 100);
 
         assertThat(mRegistry.onReport(report("a#7", "1:2", 1, false), 100)).isTrue();
 
         assertThat(ids(mRegistry.reports())).containsExactly("a#7");
-        assertThat(mRegistry.takeEnded()).containsExactly("a#5");
-        assertThat(mRegistry.takeEnded()).isEmpty();
+        assertThat(mRegistry.takeSuperseded()).containsExactly("a#5");
+        assertThat(mRegistry.takeSuperseded()).isEmpty();
     }
 
     @Test
-    void lateWordsOfAnEarlierIncarnationNeverCount() {
+    void lateMessagesOfEarlierIncarnationAreIgnored() {
         mRegistry.onReport(report("a#7", "1:1", 1, false), 100);
 
         assertThat(mRegistry.onReport(report("a#5", "1:1", 50, false), 200)).isFalse();
@@ -177,22 +177,22 @@
         mRegistry.onAlive("a#5", 400);
         mRegistry.onWeights("a#5", "m", 9);
         mRegistry.onLapsed("a#5");
-        mRegistry.onGone("a#5", 500);
+        mRegistry.onPermanentDeparture("a#5", 500);
 
         assertThat(ids(mRegistry.reports())).containsExactly("a#7");
-        assertThat(mRegistry.heardAt("a#7")).isEqualTo(100);
+        assertThat(mRegistry.lastSeenAt("a#7")).isEqualTo(100);
         assertThat(mRegistry.report("a#7").get().weights()).doesNotContainEntry("m", 9L);
-        assertThat(mRegistry.takeEnded()).isEmpty();
+        assertThat(mRegistry.takeSuperseded()).isEmpty();
     }
 
     @Test
-    void earlierIncarnationStaysEndedWhenTheLaterIsSilentOrGone() {
+    void earlierIncarnationStaysSupersededAfterLaterLapsesOrDeparts() {
         mRegistry.onReport(report("a#7", "1:1", 1, false), 0);
         mRegistry.lapse(500, 1000);
         assertThat(mRegistry.onReport(report("a#5", "1:1", 50, false), 1000)).isFalse();
 
-        mRegistry.onGone("a#7", 1100);
-        long later = 1100 + 2 * TargetRegistry.GONE_KEPT_MILLIS;
+        mRegistry.onPermanentDeparture("a#7", 1100);
+        long later = 1100 + 2 * TargetRegistry.TOMBSTONE_RETENTION_MILLIS;
         mRegistry.lapse(500, later);
         assertThat(mRegistry.onReport(report("a#5", "1:1", 51, false), later)).isFalse();
         assertThat(mRegistry.reports()).isEmpty();
@@ -200,72 +200,72 @@
 
     /** Other processes tell of the end only, or remember what was before. */
     @Test
-    void endOfALaterIncarnationIsAlsoThatOfTheEarlier() {
-        TargetRegistry follower = TargetRegistry.following();
+    void departureOfLaterIncarnationSupersedesEarlier() {
+        TargetRegistry follower = TargetRegistry.createFollower();
         follower.onReport(report("a#5", "1:1", 50, false), 0);
 
-        follower.onGone("a#7", 10);
+        follower.onPermanentDeparture("a#7", 10);
 
         assertThat(follower.reports()).isEmpty();
-        assertThat(follower.takeEnded()).containsExactly("a#5");
-        assertThat(follower.onReport(report("a#5", "1:1", 9, false).remembered(), 20)).isFalse();
+        assertThat(follower.takeSuperseded()).containsExactly("a#5");
+        assertThat(follower.onReport(report("a#5", "1:1", 9, false).asRestored(), 20)).isFalse();
     }
 
     @Test
-    void rememberedIncarnationIsNotConfirmedByALaterOne() {
-        mRegistry.onReport(report("a#5", "1:1", 50, false).remembered(), 0);
+    void laterIncarnationSupersedesRestoredOne() {
+        mRegistry.onReport(report("a#5", "1:1", 50, false).asRestored(), 0);
 
         mRegistry.onReport(report("a#7", "1:1", 1, false), 10);
 
         assertThat(ids(mRegistry.reports())).containsExactly("a#7");
-        assertThat(mRegistry.takeEnded()).containsExactly("a#5");
+        assertThat(mRegistry.takeSuperseded()).containsExactly("a#5");
     }
 
     /**
      * Whoever answers still, though its reports have ended, ends with the word of its successor.
      */
     @Test
-    void lapsedIncarnationIsEndedToo() {
-        TargetRegistry follower = TargetRegistry.following();
+    void lapsedIncarnationIsSupersededToo() {
+        TargetRegistry follower = TargetRegistry.createFollower();
         follower.onReport(report("a#5", "1:1", 50, false), 0);
         follower.onLapsed("a#5");
 
         follower.onReport(report("a#7", "1:1", 1, false), 10);
 
-        assertThat(follower.takeEnded()).containsExactly("a#5");
+        assertThat(follower.takeSuperseded()).containsExactly("a#5");
     }
 
     @Test
-    void leaveWithoutABirthEndsWhatIsKnownThen() {
+    void leaveWithoutStartAppliesToLatestKnownIncarnation() {
         mRegistry.onReport(report("a#5", "1:1", 50, false), 0);
         assertThat(mRegistry.onLeave("a#4", 0).target()).isEqualTo("a#4");
         assertThat(ids(mRegistry.reports())).containsExactly("a#5");
 
-        Leave leave = mRegistry.onLeave("a", 10);
+        LeaveOutcome outcome = mRegistry.onLeave("a", 10);
 
-        assertLeave(leave, "a#5", Leave.Result.ENDED, true);
+        assertOutcome(outcome, "a#5", LeaveOutcome.Result.ENDED, true);
         assertThat(mRegistry.reports()).isEmpty();
         assertThat(mRegistry.onReport(report("a#5", "1:1", 51, false), 20)).isFalse();
         assertThat(mRegistry.onReport(report("a#7", "1:1", 1, false), 20)).isTrue();
-        mRegistry.onGone("a", 30);
+        mRegistry.onPermanentDeparture("a", 30);
 
         assertThat(ids(mRegistry.reports())).containsExactly("a#7");
         assertThat(mRegistry.reports().get(0).leaving()).isFalse();
     }
 
     @Test
-    void leaveWithoutABirthOfAnUnknownTargetIsOfThePlainId() {
-        Leave leave = mRegistry.onLeave("a", 0);
+    void leaveWithoutStartOfUnknownTargetAppliesToPlainId() {
+        LeaveOutcome outcome = mRegistry.onLeave("a", 0);
 
-        assertLeave(leave, "a", Leave.Result.UNPLACED, true);
+        assertOutcome(outcome, "a", LeaveOutcome.Result.UNPLACED, true);
         // The same word again, since nobody acknowledged the first.
-        assertLeave(mRegistry.onLeave("a", 700), "a", Leave.Result.UNPLACED, false);
+        assertOutcome(mRegistry.onLeave("a", 700), "a", LeaveOutcome.Result.UNPLACED, false);
         assertThat(mRegistry.onReport(report("a", "1:1", 9, false), 10)).isFalse();
     }
 
     /** A process that has just started is told of the targets after the leave has come. */
     @Test
-    void leaveWithoutABirthHoldsForWhoIsHeardOfAfterIt() {
+    void leaveWithoutStartSuspendsIncarnationLearnedLater() {
         mRegistry.onLeave("a", 1000);
 
         mRegistry.onReport(report("a#5", "1:1", 40, false), 300);
@@ -280,10 +280,10 @@
 
     /** Another process didn't know any incarnation of the id when the leave came. */
     @Test
-    void suspensionOfAnIdIsThatOfItsLatestIncarnation() {
+    void suspensionOfPlainIdAppliesToLatestIncarnation() {
         mRegistry.onReport(report("a#7", "1:1", 5, false), 100);
 
-        assertThat(mRegistry.onSuspended(new Suspension("a", 200, false))).isTrue();
+        assertThat(mRegistry.onSuspension(new Suspension("a", 200, false))).isTrue();
 
         assertThat(mRegistry.reports().get(0).leaving()).isTrue();
         assertThat(mRegistry.suspensions()).containsExactly(new Suspension("a#7", 200, false));
@@ -291,20 +291,20 @@
 
     /** Who is gone never comes back: a living engine would be lost for good. */
     @Test
-    void lateLeaveWithoutABirthDoesNotEndTheSuccessor() {
+    void lateLeaveWithoutStartDoesNotRemoveSuccessor() {
         mRegistry.onReport(report("a#5", "1:1", 50, false), 0);
         mRegistry.onReport(report("a#7", "1:1", 1, false), 100);
-        long late = 100 + Suspension.LATE_WORD_MILLIS - 1;
+        long leaveAt = 100 + Suspension.MAX_MESSAGE_DELAY_MILLIS - 1;
 
-        Leave leave = mRegistry.onLeave("a", late);
+        LeaveOutcome outcome = mRegistry.onLeave("a", leaveAt);
 
-        assertLeave(leave, "a#7", Leave.Result.SUSPENDED, true);
+        assertOutcome(outcome, "a#7", LeaveOutcome.Result.SUSPENDED, true);
         assertThat(ids(mRegistry.reports())).containsExactly("a#7");
-        long after = late + Suspension.LATE_WORD_MILLIS + 1;
-        assertThat(mRegistry.onReport(report("a#7", "1:1", 9, false), after)).isTrue();
+        long afterSuspension = leaveAt + Suspension.MAX_MESSAGE_DELAY_MILLIS + 1;
+        assertThat(mRegistry.onReport(report("a#7", "1:1", 9, false), afterSuspension)).isTrue();
         assertThat(mRegistry.reports().get(0).leaving()).isFalse();
 
-        assertThat(mRegistry.onLeave("a", after).result()).isEqualTo(Leave.Result.ENDED);
+        assertThat(mRegistry.onLeave("a", afterSuspension).result()).isEqualTo(LeaveOutcome.Result.ENDED);
         assertThat(mRegistry.reports()).isEmpty();
     }
 
@@ -318,7 +318,7 @@
      * and acknowledged. The evidence: see LeavingTargetTest.
      */
     @Test
-    void targetWhoseLeaveMayBeItsPredecessorsTakesNoRequests() {
+    void ambiguousLeaveSuspendsTarget() {
         mRegistry.onReport(report("a#5", "1:1", 50, false), 0);
         mRegistry.onReport(report("a#7", "1:1", 5, false), 100);
 
@@ -326,7 +326,7 @@
 
         assertThat(mRegistry.reports().get(0).leaving()).isTrue();
         // Made before the leave, and heard after it.
-        mRegistry.onReport(report("a#7", "1:1", 6, false), 4000 + Suspension.LATE_WORD_MILLIS);
+        mRegistry.onReport(report("a#7", "1:1", 6, false), 4000 + Suspension.MAX_MESSAGE_DELAY_MILLIS);
         assertThat(mRegistry.reports().get(0).leaving()).isTrue();
     }
 
@@ -339,19 +339,19 @@
      * own. The evidence: this test on the code before; found by reading.
      */
     @Test
-    void leaveThatComesAgainToAnotherProcessDoesNotEndWhoIsSuspended() {
+    void repeatedLeaveDoesNotRemoveSuspendedTarget() {
         mRegistry.onReport(report("a#7", "1:1", 5, false), 100);
-        mRegistry.onSuspended(new Suspension("a#7", 200, false));
+        mRegistry.onSuspension(new Suspension("a#7", 200, false));
 
-        assertLeave(mRegistry.onLeave("a", 1300), "a#7", Leave.Result.SUSPENDED, true);
+        assertOutcome(mRegistry.onLeave("a", 1300), "a#7", LeaveOutcome.Result.SUSPENDED, true);
 
-        long after = 1300 + Suspension.LATE_WORD_MILLIS + 1;
-        assertThat(mRegistry.onReport(report("a#7", "1:1", 16, false), after)).isTrue();
+        long afterSuspension = 1300 + Suspension.MAX_MESSAGE_DELAY_MILLIS + 1;
+        assertThat(mRegistry.onReport(report("a#7", "1:1", 16, false), afterSuspension)).isTrue();
         assertThat(mRegistry.reports().get(0).leaving()).isFalse();
     }
 
     @Test
-    void suspendedTargetThatLapsesIsNotBackWithALateReport() {
+    void lateReportDoesNotLiftSuspensionOfLapsedTarget() {
         mRegistry.onReport(report("a#5", "1:1", 50, false), 0);
         mRegistry.onReport(report("a#7", "1:1", 5, false), 100);
         mRegistry.onLeave("a", 200);
@@ -363,7 +363,7 @@
     }
 
     @Test
-    void suspensionDoesNotConcernWhoStartsAfterIt() {
+    void suspensionDoesNotApplyToLaterIncarnation() {
         mRegistry.onReport(report("a#5", "1:1", 50, false), 0);
         mRegistry.onReport(report("a#7", "1:1", 5, false), 100);
         mRegistry.onLeave("a", 200);
@@ -376,12 +376,12 @@
 
     /** An entry may have heard the last report before the suspension, or after it. */
     @Test
-    void followerThatIsToldOfASuspensionSendsNothing() {
-        TargetRegistry follower = TargetRegistry.following();
+    void followerMarksSuspendedTargetAsLeaving() {
+        TargetRegistry follower = TargetRegistry.createFollower();
         follower.onReport(report("a#7", "1:1", 5, false), 100);
 
-        assertThat(follower.onSuspended(new Suspension("a#7", 200, false))).isTrue();
-        assertThat(follower.onSuspended(new Suspension("a#7", 210, false))).isFalse();
+        assertThat(follower.onSuspension(new Suspension("a#7", 200, false))).isTrue();
+        assertThat(follower.onSuspension(new Suspension("a#7", 210, false))).isFalse();
 
         assertThat(follower.reports().get(0).leaving()).isTrue();
         assertThat(follower.onReport(report("a#7", "1:1", 6, false), 300)).isFalse();
@@ -397,7 +397,7 @@
      * that the late report was that of a new target. The evidence: see LeavingTargetTest.
      */
     @Test
-    void targetThatLeftAndLapsedIsNotBackWithALateReport() {
+    void lateReportDoesNotRestoreLapsedLeavingTarget() {
         mRegistry.onReport(report("a", "1:1", 11, true), 0);
         assertThat(ids(mRegistry.lapse(500, 1000))).containsExactly("a");
 
@@ -418,20 +418,20 @@
      * LeavingTargetTest.
      */
     @Test
-    void targetWhoseAddressAnotherOneHasLeavesWhenItSaysSo() {
+    void displacedTargetDepartsWhenItReportsLeaving() {
         mRegistry.onReport(report("a", "1:1", 50, false), 0);
         mRegistry.onReport(report("b", "1:1", 1, false), 10);
 
         mRegistry.onReport(report("a", "1:1", 51, true), 20);
 
-        assertThat(mRegistry.takeLeft()).containsExactly(new Departure("a", 51, 20));
-        assertThat(mRegistry.takeLeft()).isEmpty();
+        assertThat(mRegistry.takeInferredDepartures()).containsExactly(new Departure("a", 51, 20));
+        assertThat(mRegistry.takeInferredDepartures()).isEmpty();
         assertThat(ids(mRegistry.reports())).containsExactly("b");
     }
 
     /** It was out of reach for a while, or has changed its mind. */
     @Test
-    void targetThatLeftAndLapsedIsBackWithALaterReport() {
+    void newerReportRestoresLapsedLeavingTarget() {
         mRegistry.onReport(report("a", "1:1", 11, true), 0);
         mRegistry.lapse(500, 1000);
 
@@ -442,19 +442,19 @@
 
     /** Another process, which heard the target on, is told that it has lapsed elsewhere. */
     @Test
-    void departureUpToASequenceLeavesALaterReport() {
+    void departureDoesNotRemoveTargetWithLaterReport() {
         mRegistry.onReport(report("a", "1:1", 15, true), 0);
 
         mRegistry.onDeparture(new Departure("a", 11, 10));
 
         assertThat(ids(mRegistry.reports())).containsExactly("a");
-        assertThat(mRegistry.onDeparture(Departure.forGood("a", 20))).isTrue();
+        assertThat(mRegistry.onDeparture(Departure.permanent("a", 20))).isTrue();
         assertThat(mRegistry.reports()).isEmpty();
     }
 
     /** What another process has suspended is told with the sequence that is known already. */
     @Test
-    void ofTwoReportsWithOneSequenceTheOneThatLeavesCounts() {
+    void leavingReportWinsAtEqualSequence() {
         mRegistry.onReport(report("a", "1:1", 5, false), 0);
 
         assertThat(mRegistry.onReport(report("a", "1:1", 5, true), 10)).isTrue();
@@ -476,7 +476,7 @@
      * run, is inferred: no line tells of one.
      */
     @Test
-    void leaveOfATargetWhoseReportsAreLateHoldsForItToo() {
+    void leaveAlsoSuspendsSuccessorWhoseReportsAreLate() {
         mRegistry.onReport(report("a#5", "1:1", 50, false), 0);
         mRegistry.onReport(report("a#7", "1:1", 5, true), 100);
         // Made before the one that it drains.
@@ -493,24 +493,24 @@
 
     /** The predecessor has lapsed or is gone; its own leave may also have come again. */
     @Test
-    void leaveOfAnIdWhoseLatestIsGoneHoldsForTheNext() {
+    void leaveAfterDepartureSuspendsNextIncarnation() {
         mRegistry.onReport(report("a#5", "1:1", 50, false), 0);
         mRegistry.onLeave("a#5", 100);
 
-        assertLeave(mRegistry.onLeave("a", 5000), "a#5", Leave.Result.KNOWN, true);
+        assertOutcome(mRegistry.onLeave("a", 5000), "a#5", LeaveOutcome.Result.KNOWN, true);
 
         mRegistry.onReport(report("a#7", "1:1", 1, false), 9000);
         assertThat(mRegistry.reports().get(0).leaving()).isTrue();
-        long after = 5000 + Suspension.LATE_WORD_MILLIS + 1;
-        mRegistry.onReport(report("a#7", "1:1", 6, false), after);
+        long afterSuspension = 5000 + Suspension.MAX_MESSAGE_DELAY_MILLIS + 1;
+        mRegistry.onReport(report("a#7", "1:1", 6, false), afterSuspension);
         assertThat(mRegistry.reports().get(0).leaving()).isFalse();
     }
 
     @Test
-    void followerIsToldThatTheNextIsSuspended() {
-        TargetRegistry follower = TargetRegistry.following();
+    void followerSuspendsSuccessorToo() {
+        TargetRegistry follower = TargetRegistry.createFollower();
         follower.onReport(report("a#7", "1:1", 5, false), 100);
-        follower.onSuspended(new Suspension("a#7", 5000, true));
+        follower.onSuspension(new Suspension("a#7", 5000, true));
 
         follower.onReport(report("a#9", "1:1", 1, false), 8000);
 
@@ -518,11 +518,11 @@
         assertThat(follower.suspensions()).containsExactly(new Suspension("a#9", 5000, false));
     }
 
-    private static void assertLeave(
-            Leave leave, String target, Leave.Result result, boolean isNews) {
-        assertThat(leave.target()).isEqualTo(target);
-        assertThat(leave.result()).isEqualTo(result);
-        assertThat(leave.isNews()).isEqualTo(isNews);
+    private static void assertOutcome(
+            LeaveOutcome outcome, String target, LeaveOutcome.Result result, boolean needsPropagation) {
+        assertThat(outcome.target()).isEqualTo(target);
+        assertThat(outcome.result()).isEqualTo(result);
+        assertThat(outcome.needsPropagation()).isEqualTo(needsPropagation);
     }
 
     private static List<String> ids(List<TargetReport> reports) {
--- a/quilldyke-core/src/test/java/org/quilldyke/instance/ControlLinkPlannerTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/instance/ControlLinkPlannerTest.java
@@ -30,115 +30,115 @@
 
 class ControlLinkPlannerTest {
     private static final String DOMAIN = "near";
-    private static final long LOOK_MILLIS = 250;
-    private static final long BEAT_MILLIS = 250;
+    private static final long CHECK_INTERVAL_MILLIS = 250;
+    private static final long CONFIRMATION_DELAY_MILLIS = 250;
 
     /** From the loss of all streams to a confirmation, however small the bound for changes is. */
-    private static final long FOUND_MILLIS = 2000;
+    private static final long MAX_SEARCH_MILLIS = 2000;
 
     private final Map<String, String> mDomains = new HashMap<>();
     private final Set<String> mAlive = new HashSet<>();
     private final Map<String, Long> mOpenedAt = new HashMap<>();
-    private final List<String> mOpened = new ArrayList<>();
+    private final List<String> mOpenedAddresses = new ArrayList<>();
     private ControlLinkPlanner mPlanner;
-    private int mMostLinks;
+    private int mMaxLinks;
     private long mNow;
 
     @Test
-    void entryFindsAControlProcessInTimeWhateverItLoses() {
+    void entryReconnectsInTimeAfterLosses() {
         for (int seed = 0; seed < 2000; seed++) {
             Random random = new Random(seed);
-            int losses = 1 + random.nextInt(2);
-            List<String> members = start(random, 2 * losses + 1 + random.nextInt(4), losses);
+            int toleratedLosses = 1 + random.nextInt(2);
+            List<String> members = start(random, 2 * toleratedLosses + 1 + random.nextInt(4), toleratedLosses);
             run(10_000);
             assertThat(mPlanner.unconfirmedMillis(mNow)).isLessThan(1000L);
 
-            loseLinked(members, losses + random.nextInt(2));
+            failLinkedFirst(members, toleratedLosses + random.nextInt(2));
             long lostAt = mNow;
-            while (mPlanner.unconfirmedMillis(mNow) > mNow - lostAt - BEAT_MILLIS) {
-                run(LOOK_MILLIS);
-                assertThat(mNow - lostAt).isAtMost(FOUND_MILLIS + LOOK_MILLIS);
+            while (mPlanner.unconfirmedMillis(mNow) > mNow - lostAt - CONFIRMATION_DELAY_MILLIS) {
+                run(CHECK_INTERVAL_MILLIS);
+                assertThat(mNow - lostAt).isAtMost(MAX_SEARCH_MILLIS + CHECK_INTERVAL_MILLIS);
             }
-            assertThat(mMostLinks).isAtMost(losses + ControlLinkPlanner.LINKS);
+            assertThat(mMaxLinks).isAtMost(toleratedLosses + ControlLinkPlanner.NORMAL_LINKS);
         }
     }
 
     @Test
-    void eachAddressIsTriedBeforeAnyIsTriedAgain() {
+    void eachAddressIsTriedBeforeAnyIsRetried() {
         List<String> members = start(new Random(1), 8, 2);
         run(10_000);
         mAlive.clear();
-        mOpened.clear();
-        while (mOpened.size() < members.size() - ControlLinkPlanner.LINKS) {
-            run(LOOK_MILLIS);
+        mOpenedAddresses.clear();
+        while (mOpenedAddresses.size() < members.size() - ControlLinkPlanner.NORMAL_LINKS) {
+            run(CHECK_INTERVAL_MILLIS);
         }
 
-        assertThat(mOpened).containsNoDuplicates();
+        assertThat(mOpenedAddresses).containsNoDuplicates();
     }
 
     @Test
-    void silenceOfAllCostsFewConnections() {
+    void fewConnectionsAreOpenedWhenNoProcessConfirms() {
         start(new Random(1), 8, 2);
         run(10_000);
         mAlive.clear();
-        mOpened.clear();
+        mOpenedAddresses.clear();
         run(15_000);
 
-        assertThat(mMostLinks).isEqualTo(4);
-        assertThat(mOpened.size())
-                .isAtMost(4 * 15_000 / (int) ControlLinkPlanner.UNCONFIRMED_MILLIS);
+        assertThat(mMaxLinks).isEqualTo(4);
+        assertThat(mOpenedAddresses.size())
+                .isAtMost(4 * 15_000 / (int) ControlLinkPlanner.LINK_TIMEOUT_MILLIS);
     }
 
     @Test
-    void controlProcessInTheOwnDomainIsFoundWithoutLeavingAnyBefore() {
+    void ownDomainLinkIsConfirmedBeforeAnotherIsClosed() {
         List<String> members = start(new Random(1), 8, 2);
         mDomains.put(members.get(7), DOMAIN);
-        mPlanner.onTold(members, mNow);
+        mPlanner.onReachableAddresses(members, mNow);
         run(3000);
 
         assertThat(mOpenedAt.keySet()).contains(members.get(7));
-        assertThat(mOpenedAt).hasSize(ControlLinkPlanner.LINKS);
-        mOpened.clear();
+        assertThat(mOpenedAt).hasSize(ControlLinkPlanner.NORMAL_LINKS);
+        mOpenedAddresses.clear();
         run(10_000);
-        assertThat(mOpened).isEmpty();
+        assertThat(mOpenedAddresses).isEmpty();
     }
 
     @Test
-    void processThatOthersDontReachIsLeftAloneWhileOthersConfirm() {
+    void unlistedProcessIsNotTriedWhileOthersConfirm() {
         List<String> members = start(new Random(1), 5, 2);
         mDomains.put(members.get(0), DOMAIN);
         run(5000);
         mAlive.remove(members.get(0));
         run(10_000);
-        mOpened.clear();
+        mOpenedAddresses.clear();
         run(60_000);
 
-        assertThat(mOpened).isEmpty();
+        assertThat(mOpenedAddresses).isEmpty();
     }
 
     @Test
-    void addressesOfMachinesThatAreGoneAreForgotten() {
+    void addressesOfRemovedMachinesExpire() {
         List<String> members = start(new Random(1), 5, 2);
         run(1000);
         for (int i = 0; i < 100; i++) {
-            mPlanner.onTold(List.of("gone-" + i), mNow);
+            mPlanner.onReachableAddresses(List.of("gone-" + i), mNow);
         }
-        run(ControlLinkPlanner.FORGET_MILLIS + 10_000);
+        run(ControlLinkPlanner.ADDRESS_RETENTION_MILLIS + 10_000);
 
-        assertThat(mPlanner.known()).isEqualTo(members.size());
+        assertThat(mPlanner.addressCount()).isEqualTo(members.size());
     }
 
     @Test
-    void searchOfManyEntriesSpreadsOverThoseThatAreLeft() {
+    void reconnectingEntriesSpreadOverRemainingProcesses() {
         for (int entries : new int[] {87, 300}) {
             Map<String, Integer> opened = new HashMap<>();
             for (int entry = 0; entry < entries; entry++) {
                 List<String> members = start(new Random(entry), 8, 2);
                 run(10_000);
                 mAlive.removeAll(List.of("control-0", "control-1", "control-2"));
-                mOpened.clear();
+                mOpenedAddresses.clear();
                 run(10_000);
-                mOpened.stream()
+                mOpenedAddresses.stream()
                         .filter(mAlive::contains)
                         .forEach(address -> opened.merge(address, 1, Integer::sum));
                 assertThat(members).hasSize(8);
@@ -146,52 +146,52 @@
             System.out.printf("%d entries lose 3 of 8 control processes: %s%n", entries, opened);
 
             assertThat(opened).hasSize(5);
-            int all = opened.values().stream().mapToInt(Integer::intValue).sum();
-            assertThat(all).isAtMost(2 * entries);
-            assertThat(Collections.max(opened.values())).isAtMost(2 * all / 5);
+            int total = opened.values().stream().mapToInt(Integer::intValue).sum();
+            assertThat(total).isAtMost(2 * entries);
+            assertThat(Collections.max(opened.values())).isAtMost(2 * total / 5);
         }
     }
 
     /** Starts an entry that knows three seeds of a group whose members are in other domains. */
-    private List<String> start(Random random, int members, int losses) {
+    private List<String> start(Random random, int members, int toleratedLosses) {
         mDomains.clear();
         mAlive.clear();
         mOpenedAt.clear();
-        mOpened.clear();
-        mMostLinks = 0;
+        mOpenedAddresses.clear();
+        mMaxLinks = 0;
         mNow = random.nextInt(1000);
         List<String> all = new ArrayList<>();
         IntStream.range(0, members).mapToObj(i -> "control-" + i).forEach(all::add);
         Collections.shuffle(all, random);
         all.forEach(member -> mDomains.put(member, "far-" + member));
         mAlive.addAll(all);
-        mPlanner = ControlLinkPlanner.create(DOMAIN, losses, random.nextInt(97), mNow);
+        mPlanner = ControlLinkPlanner.create(DOMAIN, toleratedLosses, random.nextInt(97), mNow);
         mPlanner.onSeeds(all.subList(0, Math.min(3, members)), mNow);
         return all;
     }
 
     /** Loses first those to which the entry has streams. */
-    private void loseLinked(List<String> members, int count) {
-        List<String> lost = new ArrayList<>(mOpenedAt.keySet());
-        members.stream().filter(member -> !lost.contains(member)).forEach(lost::add);
-        mAlive.removeAll(lost.subList(0, count));
+    private void failLinkedFirst(List<String> members, int count) {
+        List<String> failed = new ArrayList<>(mOpenedAt.keySet());
+        members.stream().filter(member -> !failed.contains(member)).forEach(failed::add);
+        mAlive.removeAll(failed.subList(0, count));
     }
 
     private void run(long millis) {
-        for (long until = mNow + millis; mNow < until; mNow += LOOK_MILLIS) {
+        for (long until = mNow + millis; mNow < until; mNow += CHECK_INTERVAL_MILLIS) {
             List<String> linked = List.copyOf(mOpenedAt.keySet());
             for (String address : linked) {
-                if (mAlive.contains(address) && mNow - mOpenedAt.get(address) >= BEAT_MILLIS) {
-                    mPlanner.onConfirmed(address, mNow - BEAT_MILLIS);
-                    mPlanner.onTold(mAlive, mNow);
-                    mPlanner.onDomain(address, mDomains.get(address), mNow);
+                if (mAlive.contains(address) && mNow - mOpenedAt.get(address) >= CONFIRMATION_DELAY_MILLIS) {
+                    mPlanner.onConfirmed(address, mNow - CONFIRMATION_DELAY_MILLIS);
+                    mPlanner.onReachableAddresses(mAlive, mNow);
+                    mPlanner.onFailureDomain(address, mDomains.get(address), mNow);
                 }
             }
             ControlLinkPlanner.Plan plan = mPlanner.plan(mNow);
             plan.close().forEach(mOpenedAt::remove);
             plan.open().forEach(address -> mOpenedAt.put(address, mNow));
-            mOpened.addAll(plan.open());
-            mMostLinks = Math.max(mMostLinks, mOpenedAt.size());
+            mOpenedAddresses.addAll(plan.open());
+            mMaxLinks = Math.max(mMaxLinks, mOpenedAt.size());
         }
     }
 }
--- a/quilldyke-core/src/test/java/org/quilldyke/instance/InstanceTableTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/instance/InstanceTableTest.java
@@ -19,47 +19,47 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import org.quilldyke.instance.InstanceTable.Standing;
+import org.quilldyke.instance.InstanceTable.Status;
 
 class InstanceTableTest {
     private final InstanceTable mTable =
             InstanceTable.create(List.of("b", "c", "d", "e"), 1000, 1500, 0);
 
     @Test
-    void signOfALeaderTravelsThroughOthers() {
+    void leaderIsLearnedFromOtherInstances() {
         mTable.onHeartbeat(state("b", 1, 200, "c"), 10_000);
 
         assertThat(mTable.leader()).isEqualTo("c");
-        assertThat(mTable.leaderAge(10_000)).isEqualTo(200);
-        assertThat(mTable.standing(10_000)).isEqualTo(Standing.CONNECTED);
+        assertThat(mTable.leaderAgeMillis(10_000)).isEqualTo(200);
+        assertThat(mTable.status(10_000)).isEqualTo(Status.CONNECTED);
     }
 
     @Test
-    void instanceThatHearsNobodyIsCutOff() {
+    void instanceWithoutHeartbeatsIsCutOff() {
         mTable.onHeartbeat(state("b", 1, 0, "c"), 10_000);
 
-        assertThat(mTable.standing(12_000)).isEqualTo(Standing.CUT_OFF);
-        assertThat(mTable.standing(12_000).mayServe()).isFalse();
+        assertThat(mTable.status(12_000)).isEqualTo(Status.CUT_OFF);
+        assertThat(mTable.status(12_000).mayServe()).isFalse();
     }
 
     @Test
-    void majorityWithoutALeaderMeansThatControlIsDown() {
+    void majorityWithoutLeaderMeansControlDown() {
         mTable.onHeartbeat(state("b", 1, 60_000, "c"), 100_000);
         mTable.onHeartbeat(state("c", 1, 60_000, ""), 100_000);
 
-        assertThat(mTable.standing(100_500)).isEqualTo(Standing.CONTROL_DOWN);
-        assertThat(mTable.standing(100_500).mayServe()).isTrue();
+        assertThat(mTable.status(100_500)).isEqualTo(Status.CONTROL_DOWN);
+        assertThat(mTable.status(100_500).mayServe()).isTrue();
     }
 
     @Test
-    void minorityOfInstancesIsCutOffToo() {
+    void minorityWithoutLeaderIsCutOff() {
         mTable.onHeartbeat(state("b", 1, 60_000, "c"), 100_000);
 
-        assertThat(mTable.standing(100_500)).isEqualTo(Standing.CUT_OFF);
+        assertThat(mTable.status(100_500)).isEqualTo(Status.CUT_OFF);
     }
 
     @Test
-    void restartIsToldByTheIncarnation() {
+    void restartIsDetectedByIncarnation() {
         assertThat(mTable.onHeartbeat(state("b", 5, 0, "c"), 100)).isTrue();
         assertThat(mTable.onHeartbeat(state("b", 5, 0, "c"), 200)).isFalse();
         assertThat(mTable.onHeartbeat(state("b", 6, 0, "c"), 300)).isTrue();
--- a/quilldyke-core/src/test/java/org/quilldyke/instance/TargetTableTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/instance/TargetTableTest.java
@@ -24,7 +24,7 @@
     private final TargetTable mTable = TargetTable.create("cell-1");
 
     @Test
-    void leaseLapsesWithoutRenewal() {
+    void leaseExpiresWithoutRenewal() {
         mTable.accept(record(1, 1, false), 1000);
 
         assertThat(mTable.expire(999)).isEmpty();
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void lateRecordDoesNotBringALapsedTargetBack() {
+    void lateRecordDoesNotRestoreLapsedTarget() {
         mTable.accept(record(1, 5, false), 1000);
         mTable.expire(1000);
 
@@ -42,19 +42,19 @@
     }
 
     @Test
-    void leavingIsNews() {
+    void leavingNeedsPropagation() {
         mTable.accept(record(1, 1, false), 1000);
 
         TargetTable.Change change = mTable.accept(record(1, 2, true), 2000);
 
         assertThat(change).isEqualTo(TargetTable.Change.UPDATED);
-        assertThat(change.isNews()).isTrue();
+        assertThat(change.needsPropagation()).isTrue();
         assertThat(mTable.accept(record(1, 1, false), 9000)).isEqualTo(TargetTable.Change.NONE);
         assertThat(mTable.find("e1").leaving()).isTrue();
     }
 
     @Test
-    void restartIsToldFromRenewal() {
+    void restartIsDistinguishedFromRenewal() {
         mTable.accept(record(1, 9, false), 1000);
 
         assertThat(mTable.accept(record(1, 10, false), 2000)).isEqualTo(TargetTable.Change.RENEWED);
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void renewalOfAnUnknownTargetAsksForItsRecord() {
+    void renewalOfUnknownTargetRequestsFullRecord() {
         assertThat(mTable.renew("e1", 1, 2, 1000)).isFalse();
         mTable.accept(record(1, 1, false), 1000);
 
--- a/quilldyke-core/src/test/java/org/quilldyke/manifest/FleetStateTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/manifest/FleetStateTest.java
@@ -30,11 +30,11 @@
 
         assertThat(state.version()).isEqualTo(7);
         assertThat(state.document()).isEqualTo(new byte[] {1});
-        assertThat(state.index()).isEqualTo(1);
+        assertThat(state.lastChangeIndex()).isEqualTo(1);
     }
 
     @Test
-    void fencesRiseWithTheLogAndChangeNothing() {
+    void fencingNumbersIncreaseWithoutStateChange() {
         FleetState state = FleetState.create();
 
         FleetResult first = state.apply(4, new FleetCommand.TakeFence("a"));
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void snapshotHoldsAll() {
+    void snapshotRestoresWholeState() {
         FleetState state = FleetState.create();
         publish(state, 1, 7, 1);
         state.apply(2, new FleetCommand.NameWeights("m", 3));
@@ -55,7 +55,7 @@
 
         assertThat(restored.version()).isEqualTo(7);
         assertThat(restored.weights()).containsExactly("m", 3L);
-        assertThat(restored.index()).isEqualTo(2);
+        assertThat(restored.lastChangeIndex()).isEqualTo(2);
         assertThat(FleetState.create().hasManifest()).isFalse();
     }
 
--- a/quilldyke-core/src/test/java/org/quilldyke/manifest/ManifestRulesTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/manifest/ManifestRulesTest.java
@@ -28,30 +28,30 @@
 
 class ManifestRulesTest {
     @Test
-    void wellFormedManifestIsTaken() {
-        assertThat(ManifestRules.objection(manifest(List.of(route("a", "/x/", "s", 1)))))
+    void validManifestIsAccepted() {
+        assertThat(ManifestRules.findViolation(manifest(List.of(route("a", "/x/", "s", 1)))))
                 .isEqualTo(Optional.empty());
     }
 
     @Test
-    void eachBrokenRuleIsNamed() {
-        assertObjection("unknown service", route("a", "/x/", "t", 1));
-        assertObjection("no weight", route("a", "/x/", "s", 0));
-        assertObjection("negative weight", route("a", "/x/", "s", -1));
-        assertObjection("without its slashes", route("a", "/x", "s", 1));
-        assertObjection("place of another", route("a", "/x/", "s", 1), route("b", "/x/", "s", 1));
-        assertObjection("no timeout", routeWithTimeout(0));
+    void eachViolationIsDescribed() {
+        assertViolation("unknown service", route("a", "/x/", "t", 1));
+        assertViolation("no weight", route("a", "/x/", "s", 0));
+        assertViolation("negative weight", route("a", "/x/", "s", -1));
+        assertViolation("without its slashes", route("a", "/x", "s", 1));
+        assertViolation("place of another", route("a", "/x/", "s", 1), route("b", "/x/", "s", 1));
+        assertViolation("no timeout", routeWithTimeout(0));
     }
 
     @Test
-    void keyOfTwoOrganisationsIsRefusedWithItsCode() {
+    void keySharedByTwoOrganisationsIsRejected() {
         Manifest manifest =
                 new Manifest(
                         1,
                         List.of(),
                         List.of(),
                         List.of(organisation("a", "k1", "k2"), organisation("b", "k2")),
-                        Limits.standard());
+                        Limits.defaults());
 
         QuilldykeException e =
                 assertThrows(QuilldykeException.class, () -> ManifestRules.check(manifest));
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void sharesAreDrawnByWeight() {
+    void servicesAreChosenByWeight() {
         Route route =
                 new Route(
                         "a",
@@ -92,32 +92,32 @@
                         false,
                         false,
                         false);
-        int toT = 0;
+        int drawsOfT = 0;
         for (long draw = -50; draw < 50; draw++) {
-            toT += route.serviceFor(draw).equals("t") ? 1 : 0;
+            drawsOfT += route.serviceFor(draw).equals("t") ? 1 : 0;
         }
-        assertThat(toT).isEqualTo(10);
+        assertThat(drawsOfT).isEqualTo(10);
     }
 
     /** What an organisation left in the common cache is out of reach once it is isolated. */
     @Test
-    void commonCacheChangesWithIsolation() {
+    void sharedCacheScopeChangesWithIsolation() {
         Organisation shared = new Organisation("o", Set.of("k"), OptionalInt.empty(), false);
         Organisation isolated = new Organisation("o", Set.of("k"), OptionalInt.empty(), true);
 
-        assertThat(commonCache(shared)).isEqualTo(commonCache(organisation("p", "q")));
-        assertThat(commonCache(isolated)).isNotEqualTo(commonCache(shared));
+        assertThat(sharedCacheScope(shared)).isEqualTo(sharedCacheScope(organisation("p", "q")));
+        assertThat(sharedCacheScope(isolated)).isNotEqualTo(sharedCacheScope(shared));
     }
 
-    private static String commonCache(Organisation organisation) {
+    private static String sharedCacheScope(Organisation organisation) {
         return RouteTable.of(
                         new Manifest(
-                                1, List.of(), List.of(), List.of(organisation), Limits.standard()))
-                .commonCache();
+                                1, List.of(), List.of(), List.of(organisation), Limits.defaults()))
+                .sharedCacheScope();
     }
 
-    private static void assertObjection(String part, Route... routes) {
-        assertThat(ManifestRules.objection(manifest(List.of(routes))).orElse("")).contains(part);
+    private static void assertViolation(String expectedPart, Route... routes) {
+        assertThat(ManifestRules.findViolation(manifest(List.of(routes))).orElse("")).contains(expectedPart);
     }
 
     private static Manifest manifest(List<Route> routes) {
@@ -126,7 +126,7 @@
                 routes,
                 List.of(new Service("s", "/", 10, Optional.empty(), Optional.empty())),
                 List.of(organisation("a", "k")),
-                Limits.standard());
+                Limits.defaults());
     }
 
     private static Organisation organisation(String name, String... keys) {
--- a/quilldyke-core/src/test/java/org/quilldyke/weights/LoadPlannerTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/weights/LoadPlannerTest.java
@@ -174,7 +174,7 @@
     }
 
     private static EngineStatus status(boolean busy, long revision, long version) {
-        return new EngineStatus(busy, revision, Map.of("m", version), Incarnation.UNTOLD);
+        return new EngineStatus(busy, revision, Map.of("m", version), Incarnation.UNKNOWN_START);
     }
 
     private static EngineFleet fleet(List<TargetReport> engines, Set<String> unresponsive) {
--- a/quilldyke-daemon/src/main/java/org/quilldyke/daemon/caller/Entry.java
+++ b/quilldyke-daemon/src/main/java/org/quilldyke/daemon/caller/Entry.java
@@ -41,7 +41,7 @@
         if (view.ready() || view.leaving()) {
             return;
         }
-        boolean cutOff = view.standing() == InstanceTable.Standing.CUT_OFF;
+        boolean cutOff = view.standing() == InstanceTable.Status.CUT_OFF;
         throw QuilldykeException.notRunRetryAfter(
                 cutOff ? ResultCode.CUT_OFF : ResultCode.NOT_READY, "", RETRY_AFTER_MILLIS);
     }
--- a/quilldyke-daemon/src/main/java/org/quilldyke/daemon/instance/CellNode.java
+++ b/quilldyke-daemon/src/main/java/org/quilldyke/daemon/instance/CellNode.java
@@ -177,7 +177,7 @@
     public InstanceState self() {
         noteLeader();
         // Who isn't current itself must not make others believe that they are.
-        long leaderAge = mCurrent ? Math.min(mInstances.leaderAge(now()), FOREVER) : FOREVER;
+        long leaderAge = mCurrent ? Math.min(mInstances.leaderAgeMillis(now()), FOREVER) : FOREVER;
         return new InstanceState(
                 mSelf.id(),
                 mSelf.failureDomain(),
@@ -327,7 +327,7 @@
             changed = true;
         }
         noteLeader();
-        InstanceTable.Standing standing = mInstances.standing(now());
+        InstanceTable.Status standing = mInstances.status(now());
         if (standing != mView.standing()) {
             mLog.write(Event.STANDING, "from", mView.standing(), "to", standing);
             changed = true;
@@ -355,8 +355,8 @@
         }
     }
 
-    private boolean isReady(InstanceTable.Standing standing) {
-        boolean known = mCurrent || standing == InstanceTable.Standing.CONTROL_DOWN;
+    private boolean isReady(InstanceTable.Status standing) {
+        boolean known = mCurrent || standing == InstanceTable.Status.CONTROL_DOWN;
         return mSelf.entry()
                 && known
                 && mConfiguration.version() > 0
@@ -367,7 +367,7 @@
     private void publish() {
         List<TargetRecord> targets = new ArrayList<>();
         mTargets.entries().forEach(entry -> targets.add(entry.record()));
-        InstanceTable.Standing standing = mInstances.standing(now());
+        InstanceTable.Status standing = mInstances.status(now());
         mView = new CellView(mConfiguration, targets, standing, isReady(standing), mLeaving);
     }
 
--- a/quilldyke-daemon/src/main/java/org/quilldyke/daemon/instance/Exchange.java
+++ b/quilldyke-daemon/src/main/java/org/quilldyke/daemon/instance/Exchange.java
@@ -78,13 +78,13 @@
     /** Notes what an announcement changed; news goes out at once. */
     public void onTarget(TargetRecord target, TargetTable.Change change) {
         for (Peer peer : mPeers.values()) {
-            if (change.isNews()) {
+            if (change.needsPropagation()) {
                 peer.mNews.add(target.id());
             } else {
                 peer.mRenewed.add(target.id());
             }
         }
-        if (change.isNews()) {
+        if (change.needsPropagation()) {
             heartbeat();
         }
     }
--- a/quilldyke-daemon/src/main/java/org/quilldyke/daemon/routing/CellView.java
+++ b/quilldyke-daemon/src/main/java/org/quilldyke/daemon/routing/CellView.java
@@ -33,14 +33,14 @@
 public record CellView(
         Configuration configuration,
         List<TargetRecord> targets,
-        InstanceTable.Standing standing,
+        InstanceTable.Status standing,
         boolean ready,
         boolean leaving) {
 
     /** Returns the view of an instance that knows nothing yet. */
     public static CellView empty() {
         return new CellView(
-                Configuration.empty(), List.of(), InstanceTable.Standing.STARTING, false, false);
+                Configuration.empty(), List.of(), InstanceTable.Status.STARTING, false, false);
     }
 
     /** Returns the engines that may answer for a model. */
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/EntrySubscriber.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/EntrySubscriber.java
@@ -63,7 +63,7 @@
     private final EventLog mLog;
     private final RefusedNews mRefused;
     private final CrashTelling mCrashes;
-    private final TargetRegistry mRegistry = TargetRegistry.following();
+    private final TargetRegistry mRegistry = TargetRegistry.createFollower();
     private volatile List<TargetLoad> mLoads = List.of();
     private long mHeldIndex;
 
@@ -108,8 +108,8 @@
         long now = mClock.getAsLong();
         Targets.Builder known = Targets.newBuilder();
         for (TargetReport report : mRegistry.reports()) {
-            if (!report.isRemembered()) {
-                known.addTargets(TargetFrames.encode(report, now - mRegistry.heardAt(report.id())));
+            if (!report.isRestored()) {
+                known.addTargets(TargetFrames.encode(report, now - mRegistry.lastSeenAt(report.id())));
             }
         }
         // A control process that has lost its memory may hear a late report of who has left.
@@ -215,7 +215,7 @@
 
     private void onTargets(Targets targets, String control) {
         long now = mClock.getAsLong();
-        mRegistry.forgetOld(now);
+        mRegistry.expireTombstones(now);
         for (Target target : targets.getTargetsList()) {
             String id = target.getId();
             switch (target.getStanding()) {
@@ -233,7 +233,7 @@
                     }
                 }
                 case SUSPENDED -> {
-                    if (mRegistry.onSuspended(TargetFrames.decodeSuspension(target, now))) {
+                    if (mRegistry.onSuspension(TargetFrames.decodeSuspension(target, now))) {
                         mLog.write(
                                 Event.TARGET_CHANGED,
                                 "target",
@@ -242,7 +242,7 @@
                                 true,
                                 "by",
                                 control);
-                        onSuspended(mRegistry.latest(id));
+                        onSuspended(mRegistry.latestKey(id));
                     }
                     endEarlier();
                 }
@@ -278,7 +278,7 @@
 
     private void onReport(TargetReport report, long heardAt, String control) {
         boolean news = mRegistry.onReport(report, heardAt);
-        for (String id : mRegistry.takeDropped()) {
+        for (String id : mRegistry.takeDisplaced()) {
             mLog.write(Event.TARGET_CHANGED, "target", id, "displaced", true);
             // A late report may displace who lives: it stays while it answers.
             mEntry.loop().execute(() -> mEntry.onTargetLost(id, true));
@@ -304,7 +304,7 @@
             mEntry.loop().execute(() -> mEntry.onReport(taken));
         }
         if (mRegistry.report(report.id()).isPresent()) {
-            long lastHeardAt = mRegistry.heardAt(report.id());
+            long lastHeardAt = mRegistry.lastSeenAt(report.id());
             mEntry.loop().execute(() -> mEntry.book().onReportOrigin(report.id(), control, lastHeardAt));
         }
         // What was open at an earlier incarnation may go on at the one that has just reported.
@@ -312,7 +312,7 @@
     }
 
     private void endEarlier() {
-        for (String id : mRegistry.takeEnded()) {
+        for (String id : mRegistry.takeSuperseded()) {
             mLog.write(Event.TARGET_CHANGED, "target", id, "ended", true);
             mEntry.loop().execute(() -> mEntry.onTargetEnded(id));
         }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CallerConnection.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CallerConnection.java
@@ -78,7 +78,7 @@
     public void channelActive(ChannelHandlerContext ctx) {
         mContext = ctx;
         mOpenedAt = mEntry.now();
-        startTimer(mEntry.limits().idleMillis(), this::onIdle);
+        startTimer(mEntry.limits().idleTimeoutMillis(), this::onIdle);
     }
 
     @Override
@@ -259,8 +259,8 @@
     private void onHead(HttpRequest head) throws QuilldykeException {
         mHead = head;
         mKeepAlive = HttpUtil.isKeepAlive(head);
-        RequestFraming.check(head, mEntry.limits().bodyBytes());
-        startTimer(mEntry.limits().idleMillis(), this::onSlow);
+        RequestFraming.check(head, mEntry.limits().maxBodyBytes());
+        startTimer(mEntry.limits().idleTimeoutMillis(), this::onSlow);
         mBody = mContext.alloc().buffer();
         if (HttpUtil.is100ContinueExpected(head)) {
             mContext.writeAndFlush(
@@ -274,7 +274,7 @@
     private void onContent(HttpContent content) throws QuilldykeException {
         RequestFraming.checkDecoded(content.decoderResult());
         if (mBody.readableBytes() + content.content().readableBytes()
-                > mEntry.limits().bodyBytes()) {
+                > mEntry.limits().maxBodyBytes()) {
             throw QuilldykeException.notRun(ResultCode.BODY_TOO_LARGE, "chunked");
         }
         mBody.writeBytes(content.content());
@@ -315,7 +315,7 @@
             mLastWrite.addListener(ChannelFutureListener.CLOSE);
             return;
         }
-        startTimer(mEntry.limits().idleMillis(), this::onIdle);
+        startTimer(mEntry.limits().idleTimeoutMillis(), this::onIdle);
         mContext.channel().config().setAutoRead(true);
         mContext.executor().execute(this::readWaiting);
     }
@@ -351,7 +351,7 @@
 
     private void onIdle() {
         if (isLeaving()) {
-            startTimer(mEntry.limits().idleMillis(), this::onIdle);
+            startTimer(mEntry.limits().idleTimeoutMillis(), this::onIdle);
             return;
         }
         mClosing = true;
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CallerRequests.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CallerRequests.java
@@ -55,7 +55,7 @@
         CallerFacts facts = entry.dialect().callers().read(head);
         String path = head.uri().split("[?#]", 2)[0];
         Optional<Route> found = routes.route(head.headers().get(HttpHeaderNames.HOST), path);
-        boolean open = found.isPresent() && (found.get().open() || !routes.needsKeys());
+        boolean open = found.isPresent() && (found.get().allowsAnonymous() || !routes.requiresKeys());
         if (!open && !entry.isConfirmed()) {
             throw unconfirmed();
         }
@@ -63,7 +63,7 @@
             throw denied(entry, ResultCode.UNKNOWN_PATH, path);
         }
         Route route = found.get();
-        Optional<Organisation> owner = facts.key().flatMap(routes::owner);
+        Optional<Organisation> owner = facts.key().flatMap(routes::organisationOfKey);
         if (!open && owner.isEmpty()) {
             throw denied(entry, ResultCode.UNKNOWN_TOKEN, "");
         }
@@ -73,8 +73,8 @@
                 route,
                 route.serviceFor(facts.id().hashCode()),
                 owner,
-                routes.commonCache(),
-                route.usesModel() ? facts.prompt() : Optional.empty(),
+                routes.sharedCacheScope(),
+                route.carriesPrompts() ? facts.prompt() : Optional.empty(),
                 body.readableBytes(),
                 arrivedAt,
                 arrivedAt + left,
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CallerServer.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CallerServer.java
@@ -89,7 +89,7 @@
     }
 
     private HttpDecoderConfig decoderConfig() {
-        int headerBytes = mEntry.limits().headerBytes();
+        int headerBytes = mEntry.limits().maxHeaderBytes();
         return new HttpDecoderConfig()
                 .setMaxInitialLineLength(headerBytes)
                 .setMaxHeaderSize(headerBytes)
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/Entry.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/Entry.java
@@ -270,7 +270,7 @@
 
     /** Returns what callers may send. */
     public Limits limits() {
-        return mRoutes == null ? Limits.standard() : mRoutes.manifest().limits();
+        return mRoutes == null ? Limits.defaults() : mRoutes.manifest().limits();
     }
 
     /** Returns whether the instance shuts down. */
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/Exchange.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/Exchange.java
@@ -350,7 +350,7 @@
      * confirmation that lapses meanwhile takes nothing from it, as it doesn't from one that stays.
      */
     private boolean mayUseKey() {
-        boolean keyed = !mRequest.route().open() && mEntry.routes().needsKeys();
+        boolean keyed = !mRequest.route().allowsAnonymous() && mEntry.routes().requiresKeys();
         return !keyed || mForwarding.isAnswerStarted() || mEntry.isConfirmed();
     }
 
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CacheMirror.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CacheMirror.java
@@ -74,8 +74,8 @@
      */
     boolean onHolder(String id) {
         Incarnation incarnation = Incarnation.ofKey(id);
-        mLatest.note(incarnation).map(Incarnation::key).ifPresent(mHolders::remove);
-        return !mLatest.isPast(incarnation);
+        mLatest.observe(incarnation).map(Incarnation::key).ifPresent(mHolders::remove);
+        return !mLatest.isSuperseded(incarnation);
     }
 
     /** Forgets a holder that is gone, and its earlier incarnations. */
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CacheReader.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CacheReader.java
@@ -79,13 +79,13 @@
     /** Takes an answer, or that there was none; returns what is to be told. */
     Optional<CacheNews> onAnswer(Optional<CacheEvents> answer) {
         Incarnation holder = Incarnation.ofKey(mHolder);
-        mAnswered = answer.isPresent() && holder.mayHaveSaid(answer.get().born());
+        mAnswered = answer.isPresent() && holder.mayMatch(answer.get().born());
         if (mAnswered) {
             return onEvents(answer.get());
         } else if (answer.isEmpty()) {
             return onNoAnswer();
         }
-        return holder.isOutlivedBy(answer.get().born()) ? onOutlived() : Optional.empty();
+        return holder.isSupersededBy(answer.get().born()) ? onOutlived() : Optional.empty();
     }
 
     private Optional<CacheNews> onEvents(CacheEvents events) {
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CacheWatch.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CacheWatch.java
@@ -73,13 +73,13 @@
         Set<String> wanted = new HashSet<>();
         for (TargetReport target : targets) {
             Service service = mServices.get(target.service());
-            if (service != null && service.engines().isPresent()) {
+            if (service != null && service.engineSpec().isPresent()) {
                 wanted.add(target.id());
                 watch(target.id(), target.address());
             }
         }
         for (Service service : mServices.values()) {
-            service.store()
+            service.kvStore()
                     .ifPresent(
                             store -> {
                                 wanted.add(store.address());
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/EntrySessions.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/EntrySessions.java
@@ -242,7 +242,7 @@
     }
 
     private ControlFrame configuration(boolean withDocument) {
-        Configuration.Builder out = Configuration.newBuilder().setIndex(mState.index());
+        Configuration.Builder out = Configuration.newBuilder().setIndex(mState.lastChangeIndex());
         if (withDocument) {
             out.setDocument(ByteString.copyFrom(mState.document()));
         }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/FleetJson.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/FleetJson.java
@@ -66,7 +66,7 @@
                 JsonTree.object()
                         .put(VERSION, snapshot.version())
                         .put(DOCUMENT, snapshot.document())
-                        .put("index", snapshot.index());
+                        .put("index", snapshot.lastChangeIndex());
         ObjectNode weights = tree.putObject("weights");
         snapshot.weights().forEach(weights::put);
         return JsonTree.write(tree);
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/RestartMemory.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/RestartMemory.java
@@ -95,7 +95,7 @@
         List<TargetReport> reports = new ArrayList<>();
         for (Target target : stored.getTargetsList()) {
             try {
-                reports.add(TargetFrames.decode(target).remembered());
+                reports.add(TargetFrames.decode(target).asRestored());
             } catch (QuilldykeException e) {
                 mRefused.onRefused(RefusedNews.Source.MEMORY, target.getId(), e);
             }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/TargetLog.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/TargetLog.java
@@ -21,7 +21,7 @@
 import org.quilldyke.daemon.log.EventLog;
 import org.quilldyke.engine.Departure;
 import org.quilldyke.engine.Incarnation;
-import org.quilldyke.engine.Leave;
+import org.quilldyke.engine.LeaveOutcome;
 import org.quilldyke.engine.Suspension;
 import org.quilldyke.engine.TargetReport;
 
@@ -60,9 +60,9 @@
      * @param told who, by its own word
      * @param known the targets that are known after it
      */
-    void onLeave(String told, Leave leave, List<TargetReport> known) {
+    void onLeave(String told, LeaveOutcome leave, List<TargetReport> known) {
         String became = leave.result().name().toLowerCase(Locale.ROOT);
-        boolean orNext = leave.suspension().map(Suspension::orNext).orElse(false);
+        boolean orNext = leave.suspension().map(Suspension::coversSuccessor).orElse(false);
         onLeave(told, leave.target(), became, orNext, known);
     }
 
@@ -80,7 +80,7 @@
                 BECAME,
                 "left",
                 "sequence",
-                departure.sequence());
+                departure.lastSequence());
     }
 
     /** A later incarnation has taken a target's place. */
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/TargetSpread.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/TargetSpread.java
@@ -28,7 +28,7 @@
 import org.quilldyke.ResultCode;
 import org.quilldyke.daemon.log.EventLog;
 import org.quilldyke.engine.Departure;
-import org.quilldyke.engine.Leave;
+import org.quilldyke.engine.LeaveOutcome;
 import org.quilldyke.engine.TargetRegistry;
 import org.quilldyke.engine.TargetReport;
 import org.quilldyke.gateway.engine.RefusedNews;
@@ -136,7 +136,7 @@
         if (holdsSome && !tellsWeights) {
             throw QuilldykeException.notRun(ResultCode.REPORT_INVALID, "models");
         }
-        if (!isOfAService(report) && (mServices.isPresent() || mRegistry.displaces(report))) {
+        if (!isOfAService(report) && (mServices.isPresent() || mRegistry.conflictsWithOtherService(report))) {
             throw QuilldykeException.notRun(ResultCode.REPORT_SERVICE, report.service());
         }
         long now = mClock.getAsLong();
@@ -190,10 +190,10 @@
      */
     CompletableFuture<Boolean> onLeave(String told) {
         long now = mClock.getAsLong();
-        Leave leave = mRegistry.onLeave(told, now);
+        LeaveOutcome leave = mRegistry.onLeave(told, now);
         mLog.onLeave(told, leave, mRegistry.reports());
         Targets targets = Targets.newBuilder().addAllTargets(encode(leave)).build();
-        if (leave.isNews()) {
+        if (leave.needsPropagation()) {
             mToSave = true;
             mEntries.accept(targets);
         }
@@ -201,9 +201,9 @@
         return mDeliveries.deliver(targets);
     }
 
-    private static List<Target> encode(Leave leave) {
+    private static List<Target> encode(LeaveOutcome leave) {
         List<Target> targets = new ArrayList<>();
-        if (leave.isGone()) {
+        if (leave.hasDeparted()) {
             targets.add(TargetFrames.encode(leave.target(), Target.Standing.GONE));
         }
         leave.suspension().ifPresent(suspension -> targets.add(TargetFrames.encode(suspension, 0)));
@@ -264,12 +264,12 @@
     }
 
     private long heardAt(TargetReport report) {
-        return mRegistry.heardAt(report.id());
+        return mRegistry.lastSeenAt(report.id());
     }
 
     private boolean onLeaveTold(Target target, long now) {
         return target.getStanding() == Target.Standing.SUSPENDED
-                ? mRegistry.onSuspended(TargetFrames.decodeSuspension(target, now))
+                ? mRegistry.onSuspension(TargetFrames.decodeSuspension(target, now))
                 : mRegistry.onDeparture(TargetFrames.decodeDeparture(target, now));
     }
 
@@ -280,7 +280,7 @@
     private boolean isNews(Target target, long now) {
         try {
             TargetReport report = TargetFrames.decode(target);
-            if (!isOfAService(report) && mRegistry.displaces(report)) {
+            if (!isOfAService(report) && mRegistry.conflictsWithOtherService(report)) {
                 throw QuilldykeException.notRun(ResultCode.REPORT_SERVICE, report.service());
             }
             return mRegistry.onReport(report, now - target.getAgeMs());
@@ -291,15 +291,15 @@
     }
 
     private void noteEnded() {
-        for (String id : mRegistry.takeEnded()) {
+        for (String id : mRegistry.takeSuperseded()) {
             mLog.onEnded(id);
             mToSave = true;
         }
-        for (String id : mRegistry.takeDropped()) {
+        for (String id : mRegistry.takeDisplaced()) {
             mLog.onDisplaced(id);
         }
         Targets.Builder left = Targets.newBuilder();
-        for (Departure departure : mRegistry.takeLeft()) {
+        for (Departure departure : mRegistry.takeInferredDepartures()) {
             mLog.onLeft(departure);
             left.addTargets(TargetFrames.encode(departure, 0));
             mToSave = true;
@@ -316,7 +316,7 @@
 
     /** Returns what is known of targets that were heard, for other control processes. */
     Targets heard() {
-        return all(report -> !report.isRemembered());
+        return all(report -> !report.isRestored());
     }
 
     private Targets all(Predicate<TargetReport> which) {
@@ -379,8 +379,8 @@
     private boolean save(long now) {
         List<Target> leaves = new ArrayList<>(TargetFrames.encodeLeaves(mRegistry, now));
         for (TargetReport report : mRegistry.reports()) {
-            if (report.leaving() && !report.isRemembered()) {
-                leaves.add(TargetFrames.encode(Departure.after(report, now), 0));
+            if (report.leaving() && !report.isRestored()) {
+                leaves.add(TargetFrames.encode(Departure.upTo(report, now), 0));
             }
         }
         boolean leavesTaken = mMemory.saveLeaves(leaves);
@@ -403,7 +403,7 @@
 
     private void forgetRemembered() {
         Targets.Builder forgotten = Targets.newBuilder();
-        for (String id : mRegistry.forgetRemembered()) {
+        for (String id : mRegistry.removeRestored()) {
             mLog.onForgotten(id);
             forgotten.addTargets(TargetFrames.encode(id, Target.Standing.LAPSED));
             mToSave = true;
@@ -416,7 +416,7 @@
     private void tellAlive(long now) {
         List<Alive> alive = new ArrayList<>();
         for (String id : mHeardHere) {
-            long age = now - mRegistry.heardAt(id);
+            long age = now - mRegistry.lastSeenAt(id);
             if (mRegistry.report(id).isPresent()) {
                 alive.add(Alive.newBuilder().setId(id).setAgeMs(age).build());
             }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/dialect/CacheEvents.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/dialect/CacheEvents.java
@@ -25,7 +25,7 @@
  * @param gap whether some changes are missing
  * @param unreadable how many changes couldn't be read and are left out
  * @param changes the changes in order
- * @param born the birth that the engine tells, {@link org.quilldyke.engine.Incarnation#UNTOLD} if
+ * @param born the birth that the engine tells, {@link org.quilldyke.engine.Incarnation#UNKNOWN_START} if
  *     none
  */
 public record CacheEvents(
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/dialect/TargetDialect.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/dialect/TargetDialect.java
@@ -59,7 +59,7 @@
 
     /**
      * Returns the birth that an answer to an order tells, {@link
-     * org.quilldyke.engine.Incarnation#UNTOLD} if none.
+     * org.quilldyke.engine.Incarnation#UNKNOWN_START} if none.
      *
      * @throws QuilldykeException {@link org.quilldyke.ResultCode#REPORT_INVALID} if it tells
      *     something else as its birth
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/instance/ControlLinks.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/instance/ControlLinks.java
@@ -122,8 +122,8 @@
     void onAnswer(ControlLink link, Answer answer, Asked asked) {
         long now = mClock.getAsLong();
         mPlanner.onConfirmed(link.address(), asked.at());
-        mPlanner.onTold(answer.getControlAddressesList(), now);
-        mPlanner.onDomain(link.address(), answer.getFailureDomain(), now);
+        mPlanner.onReachableAddresses(answer.getControlAddressesList(), now);
+        mPlanner.onFailureDomain(link.address(), answer.getFailureDomain(), now);
         mSubscriber.onAnswer(answer, asked.leaseAt(), link.address());
     }
 
@@ -153,7 +153,7 @@
     }
 
     private boolean isNear(ControlLink link) {
-        return mPlanner.isNear(link.address());
+        return mPlanner.isInOwnDomain(link.address());
     }
 
     void onLink(String address, boolean up, String why) {
@@ -191,7 +191,7 @@
                 "links",
                 mLinks.size(),
                 "known",
-                mPlanner.known(),
+                mPlanner.addressCount(),
                 "unconfirmed_ms",
                 mPlanner.unconfirmedMillis(now));
         link.open();
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/instance/TargetFrames.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/instance/TargetFrames.java
@@ -43,7 +43,7 @@
                         .setSoftwareVersion(report.softwareVersion())
                         .setSlots(report.slots())
                         .setLeaving(report.leaving())
-                        .setColdMs((int) Math.min(Integer.MAX_VALUE, report.coldMillis()))
+                        .setColdMs((int) Math.min(Integer.MAX_VALUE, report.coldRemainingMillis()))
                         .setSequence(report.sequence())
                         .setAgeMs(Math.max(0, ageMillis));
         report.weights()
@@ -63,15 +63,15 @@
                         .setId(departure.target())
                         .setStanding(Target.Standing.GONE)
                         .setAgeMs(Math.max(0, ageMillis));
-        if (departure.sequence() != Departure.FOR_GOOD) {
-            out.setSequence(departure.sequence());
+        if (departure.lastSequence() != Departure.ALL_REPORTS) {
+            out.setSequence(departure.lastSequence());
         }
         return out.build();
     }
 
     /** Returns the departure that was told, without a sequence for good. */
     public static Departure decodeDeparture(Target gone, long now) {
-        long sequence = gone.getSequence() == 0 ? Departure.FOR_GOOD : gone.getSequence();
+        long sequence = gone.getSequence() == 0 ? Departure.ALL_REPORTS : gone.getSequence();
         return new Departure(gone.getId(), sequence, now - gone.getAgeMs());
     }
 
@@ -79,10 +79,10 @@
     public static List<Target> encodeLeaves(TargetRegistry registry, long now) {
         List<Target> leaves = new ArrayList<>();
         for (Departure departure : registry.departures()) {
-            leaves.add(encode(departure, now - departure.at()));
+            leaves.add(encode(departure, now - departure.recordedAt()));
         }
         for (Suspension suspension : registry.suspensions()) {
-            leaves.add(encode(suspension, now - suspension.at()));
+            leaves.add(encode(suspension, now - suspension.leaveReceivedAt()));
         }
         return leaves;
     }
@@ -92,7 +92,7 @@
         return Target.newBuilder()
                 .setId(suspension.target())
                 .setStanding(Target.Standing.SUSPENDED)
-                .setLeaving(suspension.orNext())
+                .setLeaving(suspension.coversSuccessor())
                 .setAgeMs(Math.max(0, ageMillis))
                 .build();
     }
@@ -116,7 +116,7 @@
     public static TargetReport decode(Target target) throws QuilldykeException {
         Map<String, Long> weights = new HashMap<>();
         target.getWeightsList().forEach(w -> weights.put(w.getModel(), w.getVersion()));
-        return ReportRules.checked(
+        return ReportRules.validated(
                 new TargetReport(
                         target.getId(),
                         target.getService(),
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/CacheReaderTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/CacheReaderTest.java
@@ -55,9 +55,9 @@
 
     @Test
     void restartWithoutABirthShowsInTheEpoch() {
-        mReader.onAnswer(events(Incarnation.UNTOLD, 100, 4));
+        mReader.onAnswer(events(Incarnation.UNKNOWN_START, 100, 4));
 
-        assertThat(mReader.onAnswer(events(Incarnation.UNTOLD, 101, 1)).get().getRestarted())
+        assertThat(mReader.onAnswer(events(Incarnation.UNKNOWN_START, 101, 1)).get().getRestarted())
                 .isTrue();
     }
 
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/ControlNodeTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/ControlNodeTest.java
@@ -206,7 +206,7 @@
                     .forEach(
                             report ->
                                     assertWithMessage("remembered only")
-                                            .that(report.isRemembered())
+                                            .that(report.isRestored())
                                             .isTrue());
             memory.caches();
             memory.close();
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/LeavesSpreadTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/LeavesSpreadTest.java
@@ -211,7 +211,7 @@
     void leaveThatAnotherProcessTellsGoesOnToAllOnce() throws Exception {
         mSpread.onReport(report("b", "s", "1.1.1.2:1", 3), true);
         mToldPeers.clear();
-        Target gone = TargetFrames.encode(new Departure("a", Departure.FOR_GOOD, 0), 0);
+        Target gone = TargetFrames.encode(new Departure("a", Departure.ALL_REPORTS, 0), 0);
         Targets news =
                 Targets.newBuilder()
                         .addTargets(gone)
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/RestartMemoryFuzzTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/RestartMemoryFuzzTest.java
@@ -148,14 +148,14 @@
             memory.caches().forEach(before::apply);
 
             String where = "seed " + seed;
-            assertWithMessage(where).that(registry.forgetRemembered()).isEmpty();
+            assertWithMessage(where).that(registry.removeRestored()).isEmpty();
             assertWithMessage(where).that(before.whole()).isEmpty();
             assertWithMessage(where).that(after.whole()).isEmpty();
         }
     }
 
     private long later(TargetReport report) {
-        return report.incarnation().born() + 1 + mRandom.nextInt(5);
+        return report.incarnation().startedAtMillis() + 1 + mRandom.nextInt(5);
     }
 
     private void begin(int seed) {
@@ -217,7 +217,7 @@
             for (int i = 0; i < size; i++) {
                 TargetReport report = report("i-" + i, 1 + random.nextInt(100), random);
                 content.mTargets.add(report);
-                content.mLeaves.add(TargetFrames.encode(Departure.after(report, 0), i));
+                content.mLeaves.add(TargetFrames.encode(Departure.upTo(report, 0), i));
                 CacheNews.Builder news =
                         CacheNews.newBuilder().setHolder(report.id()).setUp(true).setWhole(true);
                 random.longs(random.nextInt(6)).forEach(news::addAdded);
@@ -234,7 +234,7 @@
         }
 
         List<TargetReport> remembered() {
-            return mTargets.stream().map(TargetReport::remembered).toList();
+            return mTargets.stream().map(TargetReport::asRestored).toList();
         }
     }
 }
