--- a/quilldyke-core/src/main/java/org/quilldyke/Invariant.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/Invariant.java
@@ -32,13 +32,13 @@
      * Checks that {@code holds} is true.
      *
      * @param holds the condition
-     * @param name what was expected, for the log
+     * @param expectation what was expected, for the log
      * @throws QuilldykeException if the condition is false
      */
-    public static void check(boolean holds, String name) throws QuilldykeException {
+    public static void check(boolean holds, String expectation) throws QuilldykeException {
         if (!holds) {
             BROKEN.incrementAndGet();
-            throw QuilldykeException.of(ResultCode.INVARIANT_BROKEN, Outcome.UNKNOWN, name);
+            throw QuilldykeException.of(ResultCode.INVARIANT_BROKEN, Outcome.UNKNOWN, expectation);
         }
     }
 
--- a/quilldyke-core/src/main/java/org/quilldyke/Outcome.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/Outcome.java
@@ -56,7 +56,7 @@
      * Returns what became of a request over two attempts: it ran if either ran, and it surely did
      * not run only if neither may have.
      */
-    public Outcome and(Outcome other) {
+    public Outcome combinedWith(Outcome other) {
         if (this == RAN || other == RAN) {
             return RAN;
         }
--- a/quilldyke-core/src/main/java/org/quilldyke/control/Ballot.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/Ballot.java
@@ -25,7 +25,7 @@
  */
 public record Ballot(long term, String votedFor, boolean trusted) {
     /** Returns the ballot of a replica whose disk is empty. */
-    public static Ballot blank() {
+    public static Ballot empty() {
         return new Ballot(0, "", false);
     }
 
--- a/quilldyke-core/src/main/java/org/quilldyke/control/ClaimTable.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/ClaimTable.java
@@ -35,10 +35,10 @@
     }
 
     /** Grants a claim, or tells what became of the request that holds it. */
-    Answer claim(Command.ClaimRun c, long now) {
+    Result claim(Command.ClaimRun c, long now) {
         String id = id(c.organisation(), c.key());
-        Claim known = mClaims.get(id);
-        if (known == null) {
+        Claim existing = mClaims.get(id);
+        if (existing == null) {
             Claim claim =
                     new Claim(
                             c.fingerprint(),
@@ -50,46 +50,46 @@
                             now + c.keepMillis(),
                             now + c.runMillis());
             restore(id, claim);
-            return new Answer(ResultCode.OK, claim);
+            return new Result(ResultCode.OK, claim);
         }
-        if (!known.fingerprint().equals(c.fingerprint())) {
-            return new Answer(ResultCode.KEY_REUSED, known);
+        if (!existing.fingerprint().equals(c.fingerprint())) {
+            return new Result(ResultCode.KEY_REUSED, existing);
         }
-        if (known.state() == Claim.State.CLAIMED) {
-            return whileClaimed(id, known, c, now);
+        if (existing.state() == Claim.State.CLAIMED) {
+            return claimUnfinished(id, existing, c, now);
         }
-        boolean answered = known.state() == Claim.State.ANSWERED;
-        return new Answer(answered ? ResultCode.OK : ResultCode.RUN_UNKNOWN, known);
+        boolean answered = existing.state() == Claim.State.ANSWERED;
+        return new Result(answered ? ResultCode.OK : ResultCode.RUN_UNKNOWN, existing);
     }
 
     /** Removes a claim whose request did not run. */
-    Answer release(Command.ReleaseClaim c) {
+    Result release(Command.ReleaseClaim c) {
         String id = id(c.organisation(), c.key());
-        Claim known = mClaims.get(id);
-        if (known != null
-                && known.requestId().equals(c.requestId())
-                && known.state() == Claim.State.CLAIMED) {
-            remove(id, known);
+        Claim existing = mClaims.get(id);
+        if (existing != null
+                && existing.requestId().equals(c.requestId())
+                && existing.state() == Claim.State.CLAIMED) {
+            remove(id, existing);
         }
-        return new Answer(ResultCode.OK, null);
+        return new Result(ResultCode.OK, null);
     }
 
     /** Stores the answer of a claimed run, or that its fate is unknown. */
-    Answer close(Command.CloseClaim c) {
+    Result close(Command.CloseClaim c) {
         String id = id(c.organisation(), c.key());
-        Claim known = mClaims.get(id);
-        if (known == null || !known.requestId().equals(c.requestId())) {
-            return new Answer(ResultCode.RUN_UNKNOWN, known);
+        Claim existing = mClaims.get(id);
+        if (existing == null || !existing.requestId().equals(c.requestId())) {
+            return new Result(ResultCode.RUN_UNKNOWN, existing);
         }
-        if (known.state() == Claim.State.ANSWERED) {
-            return new Answer(ResultCode.OK, known);
+        if (existing.state() == Claim.State.ANSWERED) {
+            return new Result(ResultCode.OK, existing);
         }
         Claim closed =
                 c.status() == 0
-                        ? known.unknown()
-                        : known.answered(c.status(), c.answer(), c.contentType());
+                        ? existing.unknown()
+                        : existing.answered(c.status(), c.answer(), c.contentType());
         mClaims.put(id, closed);
-        return new Answer(ResultCode.OK, closed);
+        return new Result(ResultCode.OK, closed);
     }
 
     /** Forgets the claims whose time is over. */
@@ -112,24 +112,24 @@
         return mClaims.size();
     }
 
-    private Answer whileClaimed(String id, Claim known, Command.ClaimRun c, long now) {
-        if (known.requestId().equals(c.requestId())) {
+    private Result claimUnfinished(String id, Claim existing, Command.ClaimRun c, long now) {
+        if (existing.requestId().equals(c.requestId())) {
             // The same request asks again, since it lost the answer: it may run, once.
-            return new Answer(ResultCode.OK, known);
+            return new Result(ResultCode.OK, existing);
         }
-        if (now < known.runningUntil()) {
-            return new Answer(ResultCode.RUN_IN_PROGRESS, known);
+        if (now < existing.runningUntil()) {
+            return new Result(ResultCode.RUN_IN_PROGRESS, existing);
         }
-        Claim unknown = known.unknown();
+        Claim unknown = existing.unknown();
         mClaims.put(id, unknown);
-        return new Answer(ResultCode.RUN_UNKNOWN, unknown);
+        return new Result(ResultCode.RUN_UNKNOWN, unknown);
     }
 
     private void remove(String id, Claim claim) {
         mClaims.remove(id);
-        TreeSet<String> sameTime = mByExpiry.get(claim.expiresAt());
-        sameTime.remove(id);
-        if (sameTime.isEmpty()) {
+        TreeSet<String> sameExpiry = mByExpiry.get(claim.expiresAt());
+        sameExpiry.remove(id);
+        if (sameExpiry.isEmpty()) {
             mByExpiry.remove(claim.expiresAt());
         }
     }
@@ -139,5 +139,5 @@
     }
 
     /** What a command on a claim led to. */
-    record Answer(ResultCode code, Claim claim) {}
+    record Result(ResultCode code, Claim claim) {}
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/control/Compaction.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/Compaction.java
@@ -23,8 +23,8 @@
  * @param index the last entry that the snapshot covers
  * @param term that entry's term
  * @param membership who replicated the log as of that entry
- * @param state the snapshot
- * @param keep the entries after it
+ * @param snapshot the snapshot
+ * @param remainingEntries the entries after it
  */
 public record Compaction(
-        long index, long term, Membership membership, byte[] state, List<LogEntry> keep) {}
+        long index, long term, Membership membership, byte[] snapshot, List<LogEntry> remainingEntries) {}
--- a/quilldyke-core/src/main/java/org/quilldyke/control/Configuration.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/Configuration.java
@@ -118,19 +118,19 @@
 
     /** Returns this configuration with an organisation added or replaced, one version later. */
     public Configuration with(Organisation value) {
-        Organisation stamped =
+        Organisation updated =
                 new Organisation(
                         value.name(),
                         List.copyOf(value.tokenHashes()),
                         value.maxConcurrent(),
                         version + 1);
         return new Configuration(
-                version + 1, put(organisations, value.name(), stamped), models, targets);
+                version + 1, put(organisations, value.name(), updated), models, targets);
     }
 
     /** Returns this configuration with a model added or replaced, one version later. */
     public Configuration with(Model value) {
-        Model stamped =
+        Model updated =
                 new Model(
                         value.name(),
                         value.service(),
@@ -138,14 +138,14 @@
                         value.previousWeights(),
                         version + 1);
         return new Configuration(
-                version + 1, organisations, put(models, value.name(), stamped), targets);
+                version + 1, organisations, put(models, value.name(), updated), targets);
     }
 
     /** Returns this configuration with a target's policy added or replaced, one version later. */
     public Configuration with(TargetPolicy value) {
-        TargetPolicy stamped = new TargetPolicy(value.id(), value.retired(), version + 1);
+        TargetPolicy updated = new TargetPolicy(value.id(), value.retired(), version + 1);
         return new Configuration(
-                version + 1, organisations, models, put(targets, value.id(), stamped));
+                version + 1, organisations, models, put(targets, value.id(), updated));
     }
 
     /**
--- a/quilldyke-core/src/main/java/org/quilldyke/control/ControlState.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/ControlState.java
@@ -31,13 +31,13 @@
  */
 public final class ControlState {
     /** Plans that are kept after their end, so that late resends still get their answer. */
-    static final int ENDED_PLANS_KEPT = 10_000;
+    static final int MAX_ENDED_PLANS = 10_000;
 
     private Configuration mConfiguration = Configuration.empty();
     private final TreeMap<String, Plan> mPlans = new TreeMap<>();
     private final List<String> mEndedPlans = new ArrayList<>();
     private final ClaimTable mClaims = ClaimTable.create();
-    private long mLastAt;
+    private long mLatestCommandMillis;
 
     private ControlState() {}
 
@@ -53,7 +53,7 @@
         state.mPlans.putAll(snapshot.plans());
         state.mEndedPlans.addAll(snapshot.endedPlans());
         snapshot.claims().forEach(state.mClaims::restore);
-        state.mLastAt = snapshot.lastAt();
+        state.mLatestCommandMillis = snapshot.lastAt();
         return state;
     }
 
@@ -64,7 +64,7 @@
                 new TreeMap<>(mPlans),
                 List.copyOf(mEndedPlans),
                 new TreeMap<>(mClaims.entries()),
-                mLastAt);
+                mLatestCommandMillis);
     }
 
     /**
@@ -75,11 +75,11 @@
      * @throws QuilldykeException if an invariant breaks
      */
     public CommandResult apply(long index, Command command) throws QuilldykeException {
-        long before = mConfiguration.version();
-        mLastAt = Math.max(mLastAt, command.at());
-        mClaims.expire(mLastAt);
+        long previousVersion = mConfiguration.version();
+        mLatestCommandMillis = Math.max(mLatestCommandMillis, command.at());
+        mClaims.expire(mLatestCommandMillis);
         CommandResult result = dispatch(index, command);
-        Invariant.check(mConfiguration.version() >= before, "the configuration's version rises");
+        Invariant.check(mConfiguration.version() >= previousVersion, "the configuration's version rises");
         return result;
     }
 
@@ -105,7 +105,7 @@
     }
 
     /** Returns the number of claims held. */
-    public int claims() {
+    public int claimCount() {
         return mClaims.size();
     }
 
@@ -113,7 +113,7 @@
         if (command instanceof Command.StateIntent c) {
             return stateIntent(index, c);
         } else if (command instanceof Command.ConfirmPlan c) {
-            return confirm(index, c);
+            return confirmPlan(index, c);
         } else if (command instanceof Command.ReadPlan c) {
             Plan plan = mPlans.get(c.number());
             ResultCode code = plan == null ? ResultCode.PLAN_UNKNOWN : ResultCode.OK;
@@ -123,11 +123,11 @@
         } else if (command instanceof Command.CloseOrder c) {
             return closeOrder(index, c);
         } else if (command instanceof Command.FinishPlan c) {
-            return finish(index, c);
+            return finishPlan(index, c);
         } else if (command instanceof Command.FailPlan c) {
-            return fail(index, c);
+            return failPlan(index, c);
         } else if (command instanceof Command.ClaimRun c) {
-            return claimResult(index, mClaims.claim(c, mLastAt));
+            return claimResult(index, mClaims.claim(c, mLatestCommandMillis));
         } else if (command instanceof Command.ReleaseClaim c) {
             return claimResult(index, mClaims.release(c));
         } else if (command instanceof Command.CloseClaim c) {
@@ -137,17 +137,17 @@
     }
 
     private CommandResult stateIntent(long index, Command.StateIntent c) {
-        Plan known = mPlans.get(c.number());
-        if (known != null) {
-            boolean resend = known.intentId().equals(c.intentId());
-            return planResult(index, resend ? ResultCode.OK : ResultCode.PLAN_CONFLICT, known, "");
+        Plan existing = mPlans.get(c.number());
+        if (existing != null) {
+            boolean resend = existing.intentId().equals(c.intentId());
+            return planResult(index, resend ? ResultCode.OK : ResultCode.PLAN_CONFLICT, existing, "");
         }
-        String objection = c.intent().objection(mConfiguration);
+        String objection = c.intent().validationError(mConfiguration);
         if (!objection.isEmpty()) {
             return planResult(index, ResultCode.INTENT_INVALID, null, objection);
         }
         SortedMap<String, Long> reads = new TreeMap<>();
-        for (Configuration.ObjectKey key : c.intent().touches()) {
+        for (Configuration.ObjectKey key : c.intent().affectedObjects()) {
             reads.put(key.kind() + "/" + key.name(), mConfiguration.versionOf(key));
         }
         Plan plan =
@@ -175,39 +175,39 @@
         }
         if (c.intent() instanceof Intent.PutModel i
                 && mConfiguration.models().containsKey(i.name())) {
-            int away = Math.min(RollOut.LOADING_AT_ONCE, c.engines());
-            return "up to " + away + " of " + c.engines() + " engines away at once";
+            int maxUnavailable = Math.min(RollOutPlanner.MAX_CONCURRENT_LOADS, c.engines());
+            return "up to " + maxUnavailable + " of " + c.engines() + " engines away at once";
         }
         return "none";
     }
 
-    private CommandResult confirm(long index, Command.ConfirmPlan c) {
+    private CommandResult confirmPlan(long index, Command.ConfirmPlan c) {
         Plan plan = mPlans.get(c.number());
         if (plan == null) {
             return planResult(index, ResultCode.PLAN_UNKNOWN, null, c.number());
         }
         if (plan.state() != Plan.State.PROPOSED) {
-            boolean stale = plan.state() == Plan.State.FAILED;
-            return planResult(index, stale ? ResultCode.PLAN_STALE : ResultCode.OK, plan, "");
+            boolean failed = plan.state() == Plan.State.FAILED;
+            return planResult(index, failed ? ResultCode.PLAN_STALE : ResultCode.OK, plan, "");
         }
-        if (!stillHolds(plan)) {
+        if (!isStillValid(plan)) {
             return planResult(
-                    index, ResultCode.PLAN_STALE, end(plan, Plan.State.FAILED, "stale"), "");
+                    index, ResultCode.PLAN_STALE, endPlan(plan, Plan.State.FAILED, "stale"), "");
         }
-        return planResult(index, ResultCode.OK, start(plan), "");
+        return planResult(index, ResultCode.OK, startPlan(plan), "");
     }
 
-    private boolean stillHolds(Plan plan) {
-        for (Configuration.ObjectKey key : plan.intent().touches()) {
-            long read = plan.reads().get(key.kind() + "/" + key.name());
-            if (read != mConfiguration.versionOf(key)) {
+    private boolean isStillValid(Plan plan) {
+        for (Configuration.ObjectKey key : plan.intent().affectedObjects()) {
+            long versionRead = plan.reads().get(key.kind() + "/" + key.name());
+            if (versionRead != mConfiguration.versionOf(key)) {
                 return false;
             }
         }
-        return plan.intent().objection(mConfiguration).isEmpty();
+        return plan.intent().validationError(mConfiguration).isEmpty();
     }
 
-    private Plan start(Plan plan) {
+    private Plan startPlan(Plan plan) {
         if (plan.intent() instanceof Intent.PutOrganisation i) {
             mConfiguration =
                     mConfiguration.with(
@@ -217,17 +217,17 @@
             mConfiguration =
                     mConfiguration.with(new Configuration.TargetPolicy(i.target(), i.retired(), 0));
         } else if (plan.intent() instanceof Intent.PutModel i) {
-            Configuration.Model known = mConfiguration.models().get(i.name());
-            String previous = known == null ? "" : known.weights();
+            Configuration.Model existing = mConfiguration.models().get(i.name());
+            String previous = existing == null ? "" : existing.weights();
             mConfiguration =
                     mConfiguration.with(
                             new Configuration.Model(
                                     i.name(), i.service(), i.weights(), previous, 0));
-            if (known != null) {
-                return keep(plan.with(Plan.State.RUNNING, ""));
+            if (existing != null) {
+                return storePlan(plan.with(Plan.State.RUNNING, ""));
             }
         }
-        return end(plan, Plan.State.DONE, "");
+        return endPlan(plan, Plan.State.DONE, "");
     }
 
     private CommandResult recordOrder(long index, Command.RecordOrder c) {
@@ -235,12 +235,12 @@
         if (plan == null || plan.state() != Plan.State.RUNNING) {
             return planResult(index, ResultCode.PLAN_STALE, plan, "the plan isn't running");
         }
-        Plan.Order known = plan.orders().get(c.target());
-        if (known != null && !known.done()) {
+        Plan.Order existing = plan.orders().get(c.target());
+        if (existing != null && !existing.done()) {
             return planResult(index, ResultCode.OK, plan, "");
         }
-        Plan.Order order = new Plan.Order(c.target(), index, c.weights(), mLastAt, false);
-        return planResult(index, ResultCode.OK, keep(plan.with(order)), "");
+        Plan.Order order = new Plan.Order(c.target(), index, c.weights(), mLatestCommandMillis, false);
+        return planResult(index, ResultCode.OK, storePlan(plan.with(order)), "");
     }
 
     private CommandResult closeOrder(long index, Command.CloseOrder c) {
@@ -248,11 +248,11 @@
         if (plan == null || !plan.orders().containsKey(c.target())) {
             return planResult(index, ResultCode.PLAN_UNKNOWN, plan, "no such order");
         }
-        Plan.Order done = plan.orders().get(c.target()).closed();
-        return planResult(index, ResultCode.OK, keep(plan.with(done)), "");
+        Plan.Order closedOrder = plan.orders().get(c.target()).closed();
+        return planResult(index, ResultCode.OK, storePlan(plan.with(closedOrder)), "");
     }
 
-    private CommandResult finish(long index, Command.FinishPlan c) {
+    private CommandResult finishPlan(long index, Command.FinishPlan c) {
         Plan plan = mPlans.get(c.number());
         if (plan == null || plan.state() != Plan.State.RUNNING || plan.openOrders() > 0) {
             return planResult(index, ResultCode.PLAN_STALE, plan, "the plan can't be finished");
@@ -262,37 +262,37 @@
                     mConfiguration.with(
                             new Configuration.Model(i.name(), i.service(), i.weights(), "", 0));
         }
-        return planResult(index, ResultCode.OK, end(plan, Plan.State.DONE, ""), "");
+        return planResult(index, ResultCode.OK, endPlan(plan, Plan.State.DONE, ""), "");
     }
 
-    private CommandResult fail(long index, Command.FailPlan c) {
+    private CommandResult failPlan(long index, Command.FailPlan c) {
         Plan plan = mPlans.get(c.number());
         if (plan == null || plan.state() != Plan.State.RUNNING) {
             return planResult(index, ResultCode.PLAN_STALE, plan, "the plan isn't running");
         }
-        return planResult(index, ResultCode.OK, end(plan, Plan.State.FAILED, c.why()), "");
+        return planResult(index, ResultCode.OK, endPlan(plan, Plan.State.FAILED, c.why()), "");
     }
 
-    private Plan keep(Plan plan) {
+    private Plan storePlan(Plan plan) {
         mPlans.put(plan.number(), plan);
         return plan;
     }
 
-    private Plan end(Plan plan, Plan.State state, String why) {
+    private Plan endPlan(Plan plan, Plan.State state, String why) {
         mEndedPlans.add(plan.number());
-        if (mEndedPlans.size() > ENDED_PLANS_KEPT) {
+        if (mEndedPlans.size() > MAX_ENDED_PLANS) {
             mPlans.remove(mEndedPlans.remove(0));
         }
-        return keep(plan.with(state, why));
+        return storePlan(plan.with(state, why));
     }
 
     private CommandResult planResult(long index, ResultCode code, Plan plan, String detail) {
         return new CommandResult(code, mConfiguration.version(), index, plan, null, detail);
     }
 
-    private CommandResult claimResult(long index, ClaimTable.Answer answer) {
+    private CommandResult claimResult(long index, ClaimTable.Result result) {
         return new CommandResult(
-                answer.code(), mConfiguration.version(), index, null, answer.claim(), "");
+                result.code(), mConfiguration.version(), index, null, result.claim(), "");
     }
 
     /**
--- a/quilldyke-core/src/main/java/org/quilldyke/control/DurableState.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/DurableState.java
@@ -20,7 +20,7 @@
 /**
  * What a replica finds on its disk at start.
  *
- * @param ballot its ballot, {@link Ballot#blank} if the disk is empty
+ * @param ballot its ballot, {@link Ballot#empty} if the disk is empty
  * @param snapshotIndex the last entry that the stored snapshot covers, 0 for no snapshot
  * @param snapshotTerm that entry's term
  * @param snapshot the state, empty for no snapshot
@@ -35,7 +35,7 @@
         Membership snapshotMembership,
         List<LogEntry> entries) {
     /** Returns the state of an empty disk. */
-    public static DurableState blank() {
-        return new DurableState(Ballot.blank(), 0, 0, new byte[0], Membership.empty(), List.of());
+    public static DurableState empty() {
+        return new DurableState(Ballot.empty(), 0, 0, new byte[0], Membership.empty(), List.of());
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/control/Candidacy.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/ElectionEligibility.java
@@ -22,38 +22,38 @@
  * stands in: if it alone still holds that change, its log is the newest, and no voter can be
  * elected against it. It leaves the voters time to elect one of themselves first.
  */
-final class Candidacy {
+final class ElectionEligibility {
     /** A stand-in lets this many of its timeouts pass: some election time and a half. */
-    private static final int TIMEOUTS_PASSED = 8;
+    private static final int FORMER_VOTER_TIMEOUTS = 8;
 
     private final String mSelf;
-    private final StoredLog mStored;
-    private int mTimeouts;
+    private final StoredLog mStoredLog;
+    private int mTimeoutsWithoutLeader;
 
-    Candidacy(String self, StoredLog stored) {
+    ElectionEligibility(String self, StoredLog storedLog) {
         mSelf = self;
-        mStored = stored;
+        mStoredLog = storedLog;
     }
 
     /** Notes a timeout; returns whether to ask. */
-    boolean isDue() {
-        mTimeouts++;
-        return isVoter() || mayStandIn() && mTimeouts > TIMEOUTS_PASSED;
+    boolean onTimeout() {
+        mTimeoutsWithoutLeader++;
+        return isVoter() || isVoterBeforeUncommittedChange() && mTimeoutsWithoutLeader > FORMER_VOTER_TIMEOUTS;
     }
 
     /** Notes that there is a leader. */
-    void onLeader() {
-        mTimeouts = 0;
+    void onLeaderContact() {
+        mTimeoutsWithoutLeader = 0;
     }
 
     /** Returns whether the replica is a voter by its own log. */
     boolean isVoter() {
-        return mStored.log().membership().isVoter(mSelf);
+        return mStoredLog.log().membership().isVoter(mSelf);
     }
 
-    private boolean mayStandIn() {
-        long changed = mStored.log().membershipIndex();
-        return changed > mStored.commitIndex()
-                && mStored.log().membershipAt(changed - 1).isVoter(mSelf);
+    private boolean isVoterBeforeUncommittedChange() {
+        long membershipIndex = mStoredLog.log().membershipIndex();
+        return membershipIndex > mStoredLog.commitIndex()
+                && mStoredLog.log().membershipAt(membershipIndex - 1).isVoter(mSelf);
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/control/ElectionTimer.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/ElectionTimer.java
@@ -26,42 +26,42 @@
  * when all replicas may have been killed together, and again while no majority answers.
  */
 final class ElectionTimer {
-    private static final int MAX_FACTOR = 8;
+    private static final int MAX_BACKOFF_FACTOR = 8;
 
     /** The part of an election timeout after which it is asked first, or again. */
-    private static final int SOON_DIVISOR = 8;
+    private static final int PRE_VOTE_DELAY_DIVISOR = 8;
 
     private final long mElectionMillis;
     private final RandomGenerator mRandom;
-    private long mFactor = 1;
+    private long mBackoffFactor = 1;
     private long mDeadline;
 
     ElectionTimer(long electionMillis, RandomGenerator random, long now) {
         mElectionMillis = electionMillis;
         mRandom = random;
-        restartSoon(now);
+        restartForPreVote(now);
     }
 
     /** Starts to wait for a short while: an election can't begin before others are asked anyway. */
-    void restartSoon(long now) {
-        long soon = Math.max(1, mElectionMillis / SOON_DIVISOR);
-        mDeadline = now + mFactor * (soon + mRandom.nextLong(soon));
+    void restartForPreVote(long now) {
+        long preVoteDelayMillis = Math.max(1, mElectionMillis / PRE_VOTE_DELAY_DIVISOR);
+        mDeadline = now + mBackoffFactor * (preVoteDelayMillis + mRandom.nextLong(preVoteDelayMillis));
     }
 
     /** Starts to wait anew. */
     void restart(long now) {
-        mDeadline = now + mFactor * (mElectionMillis + mRandom.nextLong(mElectionMillis));
+        mDeadline = now + mBackoffFactor * (mElectionMillis + mRandom.nextLong(mElectionMillis));
     }
 
     /** Starts to wait anew, for longer. */
-    void restartAfterFailure(long now) {
-        mFactor = Math.min(MAX_FACTOR, 2 * mFactor);
+    void restartAfterFailedElection(long now) {
+        mBackoffFactor = Math.min(MAX_BACKOFF_FACTOR, 2 * mBackoffFactor);
         restart(now);
     }
 
     /** Starts to wait anew, since a leader was heard. */
-    void restartWithLeader(long now) {
-        mFactor = 1;
+    void restartOnLeaderContact(long now) {
+        mBackoffFactor = 1;
         restart(now);
     }
 
--- a/quilldyke-core/src/main/java/org/quilldyke/control/Progress.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/FollowerProgress.java
@@ -16,9 +16,9 @@
 package org.quilldyke.control;
 
 /** What a leader knows of one follower. */
-final class Progress {
+final class FollowerProgress {
     /** Entries may be sent ahead of their acknowledgement by this many messages. */
-    private static final int WINDOW = 8;
+    private static final int MAX_IN_FLIGHT = 8;
 
     private long mNextIndex;
     private long mMatchIndex;
@@ -30,7 +30,7 @@
     private long mSnapshotIndex;
     private int mSnapshotOffset;
 
-    Progress(long nextIndex) {
+    FollowerProgress(long nextIndex) {
         mNextIndex = nextIndex;
     }
 
@@ -55,12 +55,12 @@
      * Returns whether another message may be sent before the last ones are answered. While it isn't
      * known where the logs agree, one message at a time is enough to find out.
      */
-    boolean mayPipeline() {
-        return mInFlight < (mProbing ? 1 : WINDOW);
+    boolean maySend() {
+        return mInFlight < (mProbing ? 1 : MAX_IN_FLIGHT);
     }
 
     /** Returns whether a heartbeat is due, which also frees a window whose replies were lost. */
-    boolean isDue(long now, long heartbeatMillis) {
+    boolean isHeartbeatDue(long now, long heartbeatMillis) {
         return mLastSentAt == Long.MIN_VALUE || now - mLastSentAt >= heartbeatMillis;
     }
 
@@ -93,8 +93,8 @@
     }
 
     /** Goes back to where the logs may agree, unless that was tried since. */
-    void onMismatch(long tryFrom, boolean learner) {
-        if (mProbing && tryFrom >= mNextIndex) {
+    void onMismatch(long retryIndex, boolean learner) {
+        if (mProbing && retryIndex >= mNextIndex) {
             return;
         }
         mProbing = true;
@@ -102,7 +102,7 @@
             mMatchIndex = 0;
             mLearner = true;
         }
-        mNextIndex = Math.max(mMatchIndex + 1, tryFrom);
+        mNextIndex = Math.max(mMatchIndex + 1, retryIndex);
         mInFlight = 0;
     }
 
@@ -115,12 +115,12 @@
         return mSnapshotOffset;
     }
 
-    void onPieceSent(long now) {
-        mInFlight = WINDOW;
+    void onChunkSent(long now) {
+        mInFlight = MAX_IN_FLIGHT;
         mLastSentAt = now;
     }
 
-    void onPiece(long index, int nextOffset) {
+    void onChunkReply(long index, int nextOffset) {
         if (mSnapshotIndex == index) {
             mSnapshotOffset = nextOffset;
         }
--- a/quilldyke-core/src/main/java/org/quilldyke/control/FollowerStatus.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/FollowerStatus.java
@@ -20,20 +20,20 @@
  *
  * @param id the replica
  * @param matchIndex the last entry that it is known to have synced
- * @param heardAt when the newest message was sent that it has answered, in milliseconds of the
+ * @param lastContactAt when the newest message was sent that it has answered, in milliseconds of the
  *     leader's clock; {@link Long#MIN_VALUE} if it has answered none
  */
-public record FollowerStatus(String id, long matchIndex, long heardAt) {
+public record FollowerStatus(String id, long matchIndex, long lastContactAt) {
     /** Returns for how long the replica hasn't answered. */
-    public long silentFor(long now, long leaderSince) {
-        return now - Math.max(heardAt, leaderSince);
+    public long millisSinceContact(long now, long leaderSince) {
+        return now - Math.max(lastContactAt, leaderSince);
     }
 
     /**
      * Returns whether the replica has answered within the last {@code millis}. One that has
      * answered none hasn't: the time since then would overflow, and stand for a moment ago.
      */
-    public boolean wasHeard(long millis, long now) {
-        return heardAt > now - millis;
+    public boolean hasContactWithin(long millis, long now) {
+        return lastContactAt > now - millis;
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/control/Followers.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/Followers.java
@@ -29,37 +29,37 @@
     private final ReplicaSettings mSettings;
     private final ReplicatedLog mLog;
     private final long mTerm;
-    private final VoterWait mVoterWait;
-    private final Map<String, Progress> mProgress = new HashMap<>();
+    private final MinimumVotersWait mMinimumVotersWait;
+    private final Map<String, FollowerProgress> mProgress = new HashMap<>();
 
     private Followers(ReplicaSettings settings, ReplicatedLog log, long term, long now) {
         mSettings = settings;
         mLog = log;
         mTerm = term;
-        mVoterWait = new VoterWait(settings.votersNeeded(), now);
+        mMinimumVotersWait = new MinimumVotersWait(settings.minVoters(), now);
     }
 
     static Followers of(ReplicaSettings settings, ReplicatedLog log, long term, long now) {
         Followers followers = new Followers(settings, log, term, now);
-        followers.onMembership();
+        followers.onMembershipChange();
         return followers;
     }
 
     /** Takes the log's membership: follows new members, and those that left no longer. */
-    void onMembership() {
+    void onMembershipChange() {
         List<String> others = mLog.membership().others(mSettings.self());
         mProgress.keySet().retainAll(others);
         for (String other : others) {
-            mProgress.computeIfAbsent(other, id -> new Progress(mLog.lastIndex() + 1));
+            mProgress.computeIfAbsent(other, id -> new FollowerProgress(mLog.lastIndex() + 1));
         }
     }
 
-    /** Returns whether commands may be appended, see {@link VoterWait}. */
-    boolean mayTakeCommands() {
-        return mVoterWait.isOver(mLog.membership());
+    /** Returns whether commands may be appended, see {@link MinimumVotersWait}. */
+    boolean mayAcceptCommands() {
+        return mMinimumVotersWait.isOver(mLog.membership());
     }
 
-    boolean follows(String id) {
+    boolean isFollower(String id) {
         return mProgress.containsKey(id);
     }
 
@@ -75,22 +75,22 @@
     }
 
     /** Returns the other voter that holds most of the log. */
-    Optional<String> mostComplete() {
+    Optional<String> mostUpToDateVoter() {
         return status().stream()
                 .filter(status -> mLog.membership().isVoter(status.id()))
                 .max(
                         Comparator.comparingLong(FollowerStatus::matchIndex)
-                                .thenComparingLong(FollowerStatus::heardAt))
+                                .thenComparingLong(FollowerStatus::lastContactAt))
                 .map(FollowerStatus::id);
     }
 
     /** Sends entries, or none, to each follower that was sent nothing for a heartbeat's time. */
     List<ReplicaAction> sendHeartbeats(byte[] snapshot, long commitIndex, long now) {
-        mVoterWait.tick(now);
+        mMinimumVotersWait.update(now);
         List<ReplicaAction> actions = new ArrayList<>();
         mProgress.forEach(
                 (id, progress) -> {
-                    if (progress.isDue(now, mSettings.heartbeatMillis())) {
+                    if (progress.isHeartbeatDue(now, mSettings.heartbeatMillis())) {
                         progress.rewind();
                         actions.add(sendNext(id, progress, snapshot, commitIndex, now));
                     }
@@ -99,11 +99,11 @@
     }
 
     /** Sends entries that were not sent yet, as far as each follower's window allows. */
-    List<ReplicaAction> sendNew(byte[] snapshot, long commitIndex, long now) {
+    List<ReplicaAction> sendEntries(byte[] snapshot, long commitIndex, long now) {
         List<ReplicaAction> actions = new ArrayList<>();
         mProgress.forEach(
                 (id, progress) -> {
-                    while (progress.mayPipeline() && progress.nextIndex() <= mLog.lastIndex()) {
+                    while (progress.maySend() && progress.nextIndex() <= mLog.lastIndex()) {
                         actions.add(sendNext(id, progress, snapshot, commitIndex, now));
                     }
                 });
@@ -111,7 +111,7 @@
     }
 
     void onAppendReply(String from, PeerMessage.AppendReply m) {
-        Progress progress = mProgress.get(from);
+        FollowerProgress progress = mProgress.get(from);
         progress.onReply(m.sentAt());
         if (m.matched()) {
             progress.onMatched(m.index(), m.learner());
@@ -121,34 +121,34 @@
     }
 
     void onSnapshotReply(String from, PeerMessage.SnapshotReply m) {
-        Progress progress = mProgress.get(from);
+        FollowerProgress progress = mProgress.get(from);
         progress.onReply(m.sentAt());
-        progress.onPiece(m.index(), m.nextOffset());
+        progress.onChunkReply(m.index(), m.nextOffset());
     }
 
     /** Returns the last index that a majority of the voters has synced; learners don't count. */
     long majorityIndex(long ownSyncedIndex) {
-        return majority(ownSyncedIndex, 0, Progress::matchIndex);
+        return majorityValue(ownSyncedIndex, 0, FollowerProgress::matchIndex);
     }
 
     /**
      * Returns the time up to which a majority of the voters, the leader included, has surely heard
      * the leader; {@link Long#MIN_VALUE} if that many have not answered yet. Learners don't count.
      */
-    long quorumHeardAt(long now) {
-        return majority(now, Long.MIN_VALUE, Progress::ackedSentAt);
+    long quorumContactAt(long now) {
+        return majorityValue(now, Long.MIN_VALUE, FollowerProgress::ackedSentAt);
     }
 
-    private long majority(long own, long none, ToLongFunction<Progress> value) {
+    private long majorityValue(long ownValue, long learnerValue, ToLongFunction<FollowerProgress> value) {
         List<Membership.Member> voters = mLog.membership().voters();
         long[] values = new long[voters.size()];
         int n = 0;
         for (Membership.Member voter : voters) {
-            Progress progress = mProgress.get(voter.id());
+            FollowerProgress progress = mProgress.get(voter.id());
             if (voter.id().equals(mSettings.self())) {
-                values[n++] = own;
+                values[n++] = ownValue;
             } else {
-                values[n++] = progress.isLearner() ? none : value.applyAsLong(progress);
+                values[n++] = progress.isLearner() ? learnerValue : value.applyAsLong(progress);
             }
         }
         Arrays.sort(values);
@@ -156,9 +156,9 @@
     }
 
     private ReplicaAction sendNext(
-            String to, Progress progress, byte[] snapshot, long commitIndex, long now) {
+            String to, FollowerProgress progress, byte[] snapshot, long commitIndex, long now) {
         if (progress.nextIndex() <= mLog.baseIndex()) {
-            return sendPiece(to, progress, snapshot, now);
+            return sendSnapshotChunk(to, progress, snapshot, now);
         }
         long previous = progress.nextIndex() - 1;
         List<LogEntry> entries = mLog.entriesFrom(progress.nextIndex(), mSettings.batchBytes());
@@ -175,10 +175,10 @@
                         now));
     }
 
-    private ReplicaAction sendPiece(String to, Progress progress, byte[] snapshot, long now) {
+    private ReplicaAction sendSnapshotChunk(String to, FollowerProgress progress, byte[] snapshot, long now) {
         int offset = progress.snapshotOffset(mLog.baseIndex());
-        int end = Math.min(snapshot.length, offset + mSettings.pieceBytes());
-        progress.onPieceSent(now);
+        int end = Math.min(snapshot.length, offset + mSettings.snapshotChunkBytes());
+        progress.onChunkSent(now);
         return new ReplicaAction.Send(
                 to,
                 new PeerMessage.SnapshotRequest(
--- a/quilldyke-core/src/main/java/org/quilldyke/control/IncomingSnapshot.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/IncomingSnapshot.java
@@ -23,14 +23,14 @@
     private long mIndex;
 
     /** Takes a piece, if it is the next one; a first piece starts anew. */
-    void add(PeerMessage.SnapshotRequest m) {
+    void addChunk(PeerMessage.SnapshotRequest m) {
         if (m.offset() == 0 || m.index() != mIndex) {
             mBytes = new byte[0];
             mIndex = m.index();
         }
         if (m.offset() == mBytes.length) {
-            mBytes = Arrays.copyOf(mBytes, m.offset() + m.piece().length);
-            System.arraycopy(m.piece(), 0, mBytes, m.offset(), m.piece().length);
+            mBytes = Arrays.copyOf(mBytes, m.offset() + m.chunk().length);
+            System.arraycopy(m.chunk(), 0, mBytes, m.offset(), m.chunk().length);
         }
     }
 
--- a/quilldyke-core/src/main/java/org/quilldyke/control/Intent.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/Intent.java
@@ -22,10 +22,10 @@
 public sealed interface Intent {
 
     /** Returns the objects that the plan reads and changes. */
-    List<ObjectKey> touches();
+    List<ObjectKey> affectedObjects();
 
     /** Returns why the intent doesn't fit {@code configuration}, empty if it does. */
-    String objection(Configuration configuration);
+    String validationError(Configuration configuration);
 
     /** Returns what will be done, a line a step, for the operator to read before confirming. */
     List<String> steps(Configuration configuration);
@@ -39,15 +39,15 @@
      */
     record PutOrganisation(String name, List<String> tokenHashes, int maxConcurrent)
             implements Intent {
-        private static final String HASH = "[0-9a-f]{64}";
+        private static final String TOKEN_HASH_PATTERN = "[0-9a-f]{64}";
 
         @Override
-        public List<ObjectKey> touches() {
+        public List<ObjectKey> affectedObjects() {
             return List.of(new ObjectKey(ObjectKey.Kind.ORGANISATION, name));
         }
 
         @Override
-        public String objection(Configuration configuration) {
+        public String validationError(Configuration configuration) {
             if (name == null || name.isBlank()) {
                 return "an organisation needs a name";
             }
@@ -55,7 +55,7 @@
                 return "an organisation needs a token hash";
             }
             for (String hash : tokenHashes) {
-                if (!hash.matches(HASH)) {
+                if (!hash.matches(TOKEN_HASH_PATTERN)) {
                     return "a token hash is 64 lower-case hex digits";
                 }
                 Configuration.Organisation owner = configuration.organisationOf(hash);
@@ -68,9 +68,9 @@
 
         @Override
         public List<String> steps(Configuration configuration) {
-            boolean known = configuration.organisations().containsKey(name);
+            boolean exists = configuration.organisations().containsKey(name);
             return List.of(
-                    (known ? "replace" : "admit")
+                    (exists ? "replace" : "admit")
                             + " organisation "
                             + name
                             + ", open requests at most "
@@ -87,38 +87,38 @@
      */
     record PutModel(String name, String service, String weights) implements Intent {
         @Override
-        public List<ObjectKey> touches() {
+        public List<ObjectKey> affectedObjects() {
             return List.of(new ObjectKey(ObjectKey.Kind.MODEL, name));
         }
 
         @Override
-        public String objection(Configuration configuration) {
+        public String validationError(Configuration configuration) {
             if (name == null || name.isBlank() || weights == null || weights.isBlank()) {
                 return "a model needs a name and a weight version";
             }
             if (service == null || service.isBlank()) {
                 return "a model needs a service";
             }
-            Configuration.Model known = configuration.models().get(name);
-            if (known == null) {
+            Configuration.Model existing = configuration.models().get(name);
+            if (existing == null) {
                 return "";
             }
-            if (!known.service().equals(service)) {
+            if (!existing.service().equals(service)) {
                 return "a model can't change its service";
             }
-            return known.previousWeights().isEmpty() ? "" : "a roll-out of it is under way";
+            return existing.previousWeights().isEmpty() ? "" : "a roll-out of it is under way";
         }
 
         @Override
         public List<String> steps(Configuration configuration) {
-            Configuration.Model known = configuration.models().get(name);
-            if (known == null) {
+            Configuration.Model existing = configuration.models().get(name);
+            if (existing == null) {
                 return List.of("put model " + name + " weights " + weights + " into service");
             }
             return List.of(
-                    "accept weights " + weights + " beside " + known.weights() + " for " + name,
+                    "accept weights " + weights + " beside " + existing.weights() + " for " + name,
                     "order each engine of " + service + " to load them, two at most at once",
-                    "stop accepting " + known.weights());
+                    "stop accepting " + existing.weights());
         }
     }
 
@@ -130,12 +130,12 @@
      */
     record SetRetired(String target, boolean retired) implements Intent {
         @Override
-        public List<ObjectKey> touches() {
+        public List<ObjectKey> affectedObjects() {
             return List.of(new ObjectKey(ObjectKey.Kind.TARGET, target));
         }
 
         @Override
-        public String objection(Configuration configuration) {
+        public String validationError(Configuration configuration) {
             if (target == null || target.isBlank()) {
                 return "a target needs a name";
             }
--- a/quilldyke-core/src/main/java/org/quilldyke/control/LogEntry.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/LogEntry.java
@@ -31,7 +31,7 @@
     }
 
     /** Returns the entry with which a new leader opens its term. */
-    public static LogEntry opening(long term) {
+    public static LogEntry noOp(long term) {
         return new LogEntry(term, EMPTY, null);
     }
 
@@ -41,7 +41,7 @@
     }
 
     /** Returns whether the entry carries no command. */
-    public boolean isOpening() {
+    public boolean hasNoCommand() {
         return payload.length == 0;
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/control/Membership.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/Membership.java
@@ -85,23 +85,23 @@
 
     /** Returns the membership with one standby more. */
     public Membership withStandby(Member member) {
-        List<Member> more = new ArrayList<>(standbys);
-        more.add(member);
-        return new Membership(voters, more);
+        List<Member> newStandbys = new ArrayList<>(standbys);
+        newStandbys.add(member);
+        return new Membership(voters, newStandbys);
     }
 
     /** Returns the membership in which a standby votes. */
     public Membership withPromoted(Member member) {
-        List<Member> more = new ArrayList<>(voters);
-        more.add(member);
-        return new Membership(more, remove(standbys, member.id()));
+        List<Member> newVoters = new ArrayList<>(voters);
+        newVoters.add(member);
+        return new Membership(newVoters, remove(standbys, member.id()));
     }
 
     /** Returns the membership in which a voter is a standby. */
     public Membership withDemoted(Member member) {
-        List<Member> more = new ArrayList<>(standbys);
-        more.add(member);
-        return new Membership(remove(voters, member.id()), more);
+        List<Member> newStandbys = new ArrayList<>(standbys);
+        newStandbys.add(member);
+        return new Membership(remove(voters, member.id()), newStandbys);
     }
 
     /** Returns the membership without a member. */
@@ -110,7 +110,7 @@
     }
 
     /** Returns by how many voters two memberships differ. */
-    public int voterDistance(Membership other) {
+    public int voterDifference(Membership other) {
         long added = voters.stream().filter(m -> !other.isVoter(m.id())).count();
         long removed = other.voters.stream().filter(m -> !isVoter(m.id())).count();
         return (int) (added + removed);
--- a/quilldyke-core/src/main/java/org/quilldyke/control/MembershipPlanner.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/MembershipPlanner.java
@@ -31,160 +31,160 @@
  */
 public final class MembershipPlanner {
     /** A voter silent for this long gives its place to a standby that has caught up. */
-    static final long SILENT_VOTER_MILLIS = 2500;
+    static final long VOTER_TIMEOUT_MILLIS = 2500;
 
     /** A standby silent for this long is forgotten; it asks to join again when it is back. */
-    static final long SILENT_STANDBY_MILLIS = 20_000;
+    static final long STANDBY_TIMEOUT_MILLIS = 20_000;
 
     /** A standby answers at least this often if it is to be promoted. */
-    static final long LIVE_MILLIS = 1000;
+    static final long PROMOTION_CONTACT_MILLIS = 1000;
 
     /** How many entries a standby may lack to count as caught up. */
-    static final long CAUGHT_UP_ENTRIES = 16;
+    static final long MAX_PROMOTION_LAG_ENTRIES = 16;
 
-    private final int mTolerated;
-    private final Map<String, Membership.Member> mJoiners = new HashMap<>();
+    private final int mToleratedLosses;
+    private final Map<String, Membership.Member> mJoinRequests = new HashMap<>();
 
-    private MembershipPlanner(int tolerated) {
-        mTolerated = tolerated;
+    private MembershipPlanner(int toleratedLosses) {
+        mToleratedLosses = toleratedLosses;
     }
 
     /**
      * Returns a planner.
      *
-     * @param tolerated how many disks may be lost at once: {@code 2 * tolerated + 1} replicas vote
+     * @param toleratedLosses how many disks may be lost at once: {@code 2 * tolerated + 1} replicas vote
      */
-    public static MembershipPlanner create(int tolerated) {
-        return new MembershipPlanner(tolerated);
+    public static MembershipPlanner create(int toleratedLosses) {
+        return new MembershipPlanner(toleratedLosses);
     }
 
     /** Notes that a replica asks to take part. */
-    public void onJoin(Membership.Member joiner) {
-        mJoiners.put(joiner.address(), joiner);
+    public void onJoinRequest(Membership.Member joiner) {
+        mJoinRequests.put(joiner.address(), joiner);
     }
 
     /**
      * Returns the membership to propose next, if one is due.
      *
-     * @param self the leader
-     * @param selfId its id
+     * @param leader the leader
+     * @param leaderId its id
      * @param leaderSince when it was elected, in milliseconds of its clock
      * @param now the present time of its clock
      */
-    public Optional<Membership> next(Replica self, String selfId, long leaderSince, long now) {
-        if (!self.mayChangeMembership()) {
+    public Optional<Membership> nextMembership(Replica leader, String leaderId, long leaderSince, long now) {
+        if (!leader.mayChangeMembership()) {
             return Optional.empty();
         }
-        Membership present = self.membership();
+        Membership membership = leader.membership();
         Map<String, FollowerStatus> status = new HashMap<>();
-        self.followers().forEach(follower -> status.put(follower.id(), follower));
-        View view = new View(present, status, self.lastIndex(), leaderSince, now, selfId);
-        return addJoiner(present)
-                .or(() -> promote(view))
-                .or(() -> demote(view))
-                .or(() -> forget(view));
+        leader.followers().forEach(follower -> status.put(follower.id(), follower));
+        GroupView view = new GroupView(membership, status, leader.lastIndex(), leaderSince, now, leaderId);
+        return addJoiner(membership)
+                .or(() -> promoteStandby(view))
+                .or(() -> demoteVoter(view))
+                .or(() -> removeStandby(view));
     }
 
-    private Optional<Membership> addJoiner(Membership present) {
-        List<Membership.Member> waiting = new ArrayList<>(mJoiners.values());
-        for (Membership.Member joiner : waiting) {
-            mJoiners.remove(joiner.address());
-            if (present.member(joiner.id()).isEmpty()) {
-                return Optional.of(present.withStandby(joiner));
+    private Optional<Membership> addJoiner(Membership membership) {
+        List<Membership.Member> joiners = new ArrayList<>(mJoinRequests.values());
+        for (Membership.Member joiner : joiners) {
+            mJoinRequests.remove(joiner.address());
+            if (membership.member(joiner.id()).isEmpty()) {
+                return Optional.of(membership.withStandby(joiner));
             }
         }
         return Optional.empty();
     }
 
-    private Optional<Membership> promote(View view) {
-        int votersWanted = wanted(view);
-        long live = view.present().voters().stream().filter(m -> !view.isLost(m)).count();
-        if (live >= votersWanted || view.present().voters().size() > votersWanted) {
+    private Optional<Membership> promoteStandby(GroupView view) {
+        int targetVoters = targetVoterCount(view);
+        long live = view.membership().voters().stream().filter(m -> !view.isFailed(m)).count();
+        if (live >= targetVoters || view.membership().voters().size() > targetVoters) {
             return Optional.empty();
         }
-        return view.present().standbys().stream()
+        return view.membership().standbys().stream()
                 .filter(view::isCaughtUp)
                 .findFirst()
-                .map(view.present()::withPromoted);
+                .map(view.membership()::withPromoted);
     }
 
-    private Optional<Membership> demote(View view) {
-        List<Membership.Member> voters = view.present().voters();
-        if (voters.size() <= wanted(view) && voters.size() % 2 == 1) {
+    private Optional<Membership> demoteVoter(GroupView view) {
+        List<Membership.Member> voters = view.membership().voters();
+        if (voters.size() <= targetVoterCount(view) && voters.size() % 2 == 1) {
             return Optional.empty();
         }
-        Optional<Membership.Member> lost =
+        Optional<Membership.Member> failed =
                 voters.stream()
-                        .filter(m -> !m.id().equals(view.selfId()))
-                        .filter(view::isLost)
+                        .filter(m -> !m.id().equals(view.leaderId()))
+                        .filter(view::isFailed)
                         .findFirst();
-        Optional<Membership.Member> spare =
-                voters.stream().filter(m -> !m.id().equals(view.selfId())).reduce((a, b) -> b);
-        return lost.or(() -> spare).map(view.present()::withDemoted);
+        Optional<Membership.Member> surplus =
+                voters.stream().filter(m -> !m.id().equals(view.leaderId())).reduce((a, b) -> b);
+        return failed.or(() -> surplus).map(view.membership()::withDemoted);
     }
 
-    private Optional<Membership> forget(View view) {
-        return view.present().standbys().stream()
-                .filter(view::isForgotten)
+    private Optional<Membership> removeStandby(GroupView view) {
+        return view.membership().standbys().stream()
+                .filter(view::isRemovable)
                 .findFirst()
-                .map(m -> view.present().without(m.id()));
+                .map(m -> view.membership().without(m.id()));
     }
 
     /** Returns how many replicas shall vote: an odd number, and no more than are alive. */
-    private int wanted(View view) {
-        long live = view.present().all().stream().filter(m -> !view.isLost(m)).count();
-        int most = Math.max(view.present().voters().size(), (int) live);
-        int odd = most % 2 == 1 ? most : most - 1;
-        return Math.min(2 * mTolerated + 1, odd);
+    private int targetVoterCount(GroupView view) {
+        long live = view.membership().all().stream().filter(m -> !view.isFailed(m)).count();
+        int largest = Math.max(view.membership().voters().size(), (int) live);
+        int odd = largest % 2 == 1 ? largest : largest - 1;
+        return Math.min(2 * mToleratedLosses + 1, odd);
     }
 
     /** What the leader sees of the group. */
-    private record View(
-            Membership present,
+    private record GroupView(
+            Membership membership,
             Map<String, FollowerStatus> status,
             long lastIndex,
             long leaderSince,
             long now,
-            String selfId) {
-        boolean isLost(Membership.Member member) {
-            return isReplaced(member) || silentFor(member) > SILENT_VOTER_MILLIS;
+            String leaderId) {
+        boolean isFailed(Membership.Member member) {
+            return isReplaced(member) || millisSinceContact(member) > VOTER_TIMEOUT_MILLIS;
         }
 
-        boolean isForgotten(Membership.Member member) {
-            return isReplaced(member) || silentFor(member) > SILENT_STANDBY_MILLIS;
+        boolean isRemovable(Membership.Member member) {
+            return isReplaced(member) || millisSinceContact(member) > STANDBY_TIMEOUT_MILLIS;
         }
 
         boolean isCaughtUp(Membership.Member member) {
             FollowerStatus follower = status.get(member.id());
             return follower != null
                     && !isReplaced(member)
-                    && follower.wasHeard(LIVE_MILLIS, now)
-                    && follower.matchIndex() + CAUGHT_UP_ENTRIES >= lastIndex;
+                    && follower.hasContactWithin(PROMOTION_CONTACT_MILLIS, now)
+                    && follower.matchIndex() + MAX_PROMOTION_LAG_ENTRIES >= lastIndex;
         }
 
         /** Returns whether another replica has come up at the member's address since. */
         private boolean isReplaced(Membership.Member member) {
-            List<Membership.Member> all = present.all();
+            List<Membership.Member> all = membership.all();
             Membership.Member newest = member;
             for (Membership.Member other : all) {
-                boolean here = other.address().equals(member.address());
-                newest = here && heardAt(other) > heardAt(newest) ? other : newest;
+                boolean sameAddress = other.address().equals(member.address());
+                newest = sameAddress && lastContactAt(other) > lastContactAt(newest) ? other : newest;
             }
             return !newest.id().equals(member.id());
         }
 
-        private long heardAt(Membership.Member member) {
+        private long lastContactAt(Membership.Member member) {
             FollowerStatus follower = status.get(member.id());
-            return member.id().equals(selfId)
+            return member.id().equals(leaderId)
                     ? Long.MAX_VALUE
-                    : follower == null ? Long.MIN_VALUE : follower.heardAt();
+                    : follower == null ? Long.MIN_VALUE : follower.lastContactAt();
         }
 
-        private long silentFor(Membership.Member member) {
+        private long millisSinceContact(Membership.Member member) {
             FollowerStatus follower = status.get(member.id());
-            return member.id().equals(selfId) || follower == null
+            return member.id().equals(leaderId) || follower == null
                     ? 0
-                    : follower.silentFor(now, leaderSince);
+                    : follower.millisSinceContact(now, leaderSince);
         }
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/control/VoterWait.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/MinimumVotersWait.java
@@ -27,26 +27,26 @@
  *
  * <p>A machine that doesn't come is itself one of the losses to be borne, so the wait has an end.
  */
-final class VoterWait {
+final class MinimumVotersWait {
     /** A machine counts as lost for up to so long after its start, in milliseconds (sheets). */
-    static final long LONGEST_MILLIS = 6000;
+    static final long MAX_WAIT_MILLIS = 6000;
 
-    private final int mNeeded;
+    private final int mMinVoters;
     private final long mElectedAt;
-    private boolean mIsTooLong;
+    private boolean mTimedOut;
 
-    VoterWait(int needed, long electedAt) {
-        mNeeded = needed;
+    MinimumVotersWait(int minVoters, long electedAt) {
+        mMinVoters = minVoters;
         mElectedAt = electedAt;
     }
 
     /** Notes the present time. */
-    void tick(long now) {
-        mIsTooLong = now - mElectedAt >= LONGEST_MILLIS;
+    void update(long now) {
+        mTimedOut = now - mElectedAt >= MAX_WAIT_MILLIS;
     }
 
     /** Returns whether commands may follow an entry with the given membership in force. */
     boolean isOver(Membership membership) {
-        return membership.voters().size() >= mNeeded || mIsTooLong;
+        return membership.voters().size() >= mMinVoters || mTimedOut;
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/control/PeerMessage.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/PeerMessage.java
@@ -27,10 +27,10 @@
      * @param lastIndex the end of the candidate's log
      * @param lastTerm its term
      * @param preVote whether only to tell if a vote would be given, which changes nothing
-     * @param transfer whether the leader itself has asked for this election, so that a vote may be
+     * @param leadershipTransfer whether the leader itself has asked for this election, so that a vote may be
      *     given although the leader was heard just now
      */
-    record VoteRequest(long term, long lastIndex, long lastTerm, boolean preVote, boolean transfer)
+    record VoteRequest(long term, long lastIndex, long lastTerm, boolean preVote, boolean leadershipTransfer)
             implements PeerMessage {}
 
     /** Answers a {@link VoteRequest}. */
@@ -76,9 +76,9 @@
      * @param index the last entry that the snapshot covers
      * @param indexTerm its term
      * @param offset where the piece starts
-     * @param total the snapshot's size in bytes
+     * @param totalBytes the snapshot's size in bytes
      * @param membership who replicates the log as of the snapshot
-     * @param piece the bytes
+     * @param chunk the bytes
      * @param sentAt the leader's clock, sent back in the reply
      */
     record SnapshotRequest(
@@ -86,9 +86,9 @@
             long index,
             long indexTerm,
             int offset,
-            int total,
+            int totalBytes,
             Membership membership,
-            byte[] piece,
+            byte[] chunk,
             long sentAt)
             implements PeerMessage {}
 
--- a/quilldyke-core/src/main/java/org/quilldyke/control/StateSurvey.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/PeerStates.java
@@ -20,42 +20,42 @@
 import java.util.Map;
 
 /** What a replica that doesn't trust its disk has heard of the others' logs. */
-final class StateSurvey {
+final class PeerStates {
     private final String mSelf;
     private final ReplicatedLog mLog;
     private final Map<String, PeerMessage.StateReply> mReplies = new HashMap<>();
 
-    StateSurvey(String self, ReplicatedLog log) {
+    PeerStates(String self, ReplicatedLog log) {
         mSelf = self;
         mLog = log;
     }
 
     /** Returns whom to ask. */
-    List<String> others() {
+    List<String> otherVoters() {
         return mLog.membership().otherVoters(mSelf);
     }
 
     /** Returns whether too few have answered for a leader's entries to be taken. */
-    boolean isOpen(Ballot ballot) {
+    boolean isIncomplete(Ballot ballot) {
         return !ballot.trusted()
                 && mReplies.size() < mLog.membership().quorum()
-                && !others().isEmpty()
+                && !otherVoters().isEmpty()
                 && ballot.term() == 0;
     }
 
     /** Takes an answer and returns the ballot that follows from all of them. */
-    Ballot add(String from, PeerMessage.StateReply reply, Ballot ballot) {
+    Ballot onReply(String from, PeerMessage.StateReply reply, Ballot ballot) {
         mReplies.put(from, reply);
-        long newest =
+        long newestTerm =
                 mReplies.values().stream().mapToLong(PeerMessage.StateReply::term).max().orElse(0);
         boolean allEmpty =
-                mReplies.size() == others().size()
+                mReplies.size() == otherVoters().size()
                         && mReplies.values().stream().allMatch(r -> r.lastIndex() == 0);
         if (allEmpty && mLog.lastIndex() == 0) {
             // Nobody holds an entry, so nothing was ever committed: a first start.
-            return new Ballot(newest + 1, "", true);
+            return new Ballot(newestTerm + 1, "", true);
         }
-        boolean enough = mReplies.size() >= mLog.membership().quorum();
-        return enough && newest > ballot.term() ? new Ballot(newest, "", false) : ballot;
+        boolean hasQuorum = mReplies.size() >= mLog.membership().quorum();
+        return hasQuorum && newestTerm > ballot.term() ? new Ballot(newestTerm, "", false) : ballot;
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/control/Replica.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/Replica.java
@@ -35,15 +35,15 @@
  * ReplicaAction}. Not safe for use by several threads.
  */
 public final class Replica {
-    private static final long NO_REPLY_OWED = Long.MIN_VALUE;
+    private static final long NO_PENDING_ACK = Long.MIN_VALUE;
 
     private final ReplicaSettings mSettings;
     private final ElectionTimer mTimer;
     private final StoredLog mStored;
     private final ReplicatedLog mLog;
     private final VoteCount mVotes = new VoteCount();
-    private final StateSurvey mSurvey;
-    private final Candidacy mCandidacy;
+    private final PeerStates mPeerStates;
+    private final ElectionEligibility mEligibility;
     private final IncomingSnapshot mIncoming = new IncomingSnapshot();
     private List<ReplicaAction> mActions = new ArrayList<>();
     private Ballot mBallot;
@@ -51,9 +51,9 @@
     private String mLeader = "";
     private Followers mFollowers;
     private long mMatchedIndex;
-    private long mReplyOwedFor = NO_REPLY_OWED;
-    private long mHeardCommit = Long.MAX_VALUE;
-    private long mLeaderHeardAt;
+    private long mPendingAckSentAt = NO_PENDING_ACK;
+    private long mLeaderCommitIndex = Long.MAX_VALUE;
+    private long mLeaderSeenAt;
     private boolean mBallotPending;
 
     private Replica(
@@ -63,10 +63,10 @@
         mBallot = disk.ballot();
         mStored = StoredLog.restore(settings, disk, action -> mActions.add(action));
         mLog = mStored.log();
-        mSurvey = new StateSurvey(settings.self(), mLog);
-        mCandidacy = new Candidacy(settings.self(), mStored);
+        mPeerStates = new PeerStates(settings.self(), mLog);
+        mEligibility = new ElectionEligibility(settings.self(), mStored);
         // A lease that this replica granted before its restart may still be running.
-        mLeaderHeardAt = startedAt + settings.startUpPromiseMillis() - settings.electionMillis();
+        mLeaderSeenAt = startedAt + settings.startUpVoteDelayMillis() - settings.electionMillis();
     }
 
     /**
@@ -95,7 +95,7 @@
         } else if (mTimer.isDue(now) && !mBallotPending) {
             onElectionTimeout(now);
         }
-        return takeActions();
+        return drainActions();
     }
 
     /**
@@ -124,7 +124,7 @@
         } else if (message instanceof PeerMessage.ElectNow m) {
             onElectNow(m, now);
         }
-        return takeActions();
+        return drainActions();
     }
 
     /**
@@ -133,7 +133,7 @@
      * @return the entry's index, or -1 if this replica doesn't lead, or too few replicas vote yet
      */
     public long propose(byte[] payload) {
-        if (mRole != Role.LEADER || !mFollowers.mayTakeCommands()) {
+        if (mRole != Role.LEADER || !mFollowers.mayAcceptCommands()) {
             return -1;
         }
         mStored.append(new LogEntry(mBallot.term(), payload));
@@ -154,38 +154,38 @@
             return -1;
         }
         Invariant.check(
-                next.voterDistance(mLog.membership()) <= 1 && next.isVoter(mSettings.self()),
+                next.voterDifference(mLog.membership()) <= 1 && next.isVoter(mSettings.self()),
                 "one voter at a time changes, and the leader stays");
         mStored.append(LogEntry.ofMembership(mBallot.term(), next));
-        mFollowers.onMembership();
+        mFollowers.onMembershipChange();
         return mLog.lastIndex();
     }
 
     /** Sends what was proposed. */
     public List<ReplicaAction> flush(long now) {
         if (mRole == Role.LEADER) {
-            mActions.addAll(mFollowers.sendNew(mStored.snapshot(), mStored.commitIndex(), now));
+            mActions.addAll(mFollowers.sendEntries(mStored.snapshot(), mStored.commitIndex(), now));
         }
-        return takeActions();
+        return drainActions();
     }
 
     /**
      * Tells that what was wanted stored is synced.
      *
      * @param index the end of the log when the sync was begun
-     * @param epoch {@link #storeEpoch} when the sync was begun; entries that were removed since
+     * @param epoch {@link #truncationEpoch} when the sync was begun; entries that were removed since
      *     make the news void
      */
     public List<ReplicaAction> onSynced(long index, long epoch) throws QuilldykeException {
         if (!mStored.onSynced(index, epoch)) {
-            return takeActions();
+            return drainActions();
         }
         advanceCommit();
-        if (mReplyOwedFor != NO_REPLY_OWED && !mLeader.isEmpty() && mRole == Role.FOLLOWER) {
-            reply(mLeader, true, Math.min(mMatchedIndex, mStored.syncedIndex()), mReplyOwedFor);
-            mReplyOwedFor = mStored.syncedIndex() < mMatchedIndex ? mReplyOwedFor : NO_REPLY_OWED;
+        if (mPendingAckSentAt != NO_PENDING_ACK && !mLeader.isEmpty() && mRole == Role.FOLLOWER) {
+            reply(mLeader, true, Math.min(mMatchedIndex, mStored.syncedIndex()), mPendingAckSentAt);
+            mPendingAckSentAt = mStored.syncedIndex() < mMatchedIndex ? mPendingAckSentAt : NO_PENDING_ACK;
         }
-        return takeActions();
+        return drainActions();
     }
 
     /** Tells that a ballot is stored; until the newest is, no election is begun or given up. */
@@ -197,8 +197,8 @@
     }
 
     /** Returns a number that changes whenever stored entries are wanted removed. */
-    public long storeEpoch() {
-        return mStored.storeEpoch();
+    public long truncationEpoch() {
+        return mStored.truncationEpoch();
     }
 
     /**
@@ -208,14 +208,14 @@
      */
     public List<ReplicaAction> transferLeadership(long now) {
         if (mRole == Role.LEADER) {
-            handOn(now);
+            transferAndStepDown(now);
         }
-        return takeActions();
+        return drainActions();
     }
 
     /** Replaces the applied entries by a snapshot of the state; the caller stores the outcome. */
-    public Compaction compact(byte[] state) {
-        return mStored.compact(state);
+    public Compaction compact(byte[] snapshot) {
+        return mStored.compact(snapshot);
     }
 
     /** Returns whether this replica leads. */
@@ -226,7 +226,7 @@
     /** Returns whether this replica leads and was heard so recently that no other can. */
     public boolean holdsLease(long now) {
         return mRole == Role.LEADER
-                && now < mFollowers.quorumHeardAt(now) + mSettings.leaseMillis();
+                && now < mFollowers.quorumContactAt(now) + mSettings.leaseMillis();
     }
 
     /**
@@ -238,7 +238,7 @@
         if (mRole != Role.LEADER || !hasCommittedInTerm()) {
             return Long.MIN_VALUE;
         }
-        return mFollowers.quorumHeardAt(now);
+        return mFollowers.quorumContactAt(now);
     }
 
     /** Returns who replicates the log as of its last entry. */
@@ -249,7 +249,7 @@
     /** Returns whether {@link #proposeMembership} would be taken. */
     public boolean mayChangeMembership() {
         return mRole == Role.LEADER
-                && mCandidacy.isVoter()
+                && mEligibility.isVoter()
                 && hasCommittedInTerm()
                 && mLog.membershipIndex() <= mStored.commitIndex();
     }
@@ -267,8 +267,8 @@
     /** Returns when the leader was last heard; for a leader, when a quorum last heard it. */
     public long leaderSeenAt(long now) {
         return mRole == Role.LEADER
-                ? Math.max(mFollowers.quorumHeardAt(now), mLeaderHeardAt)
-                : mLeaderHeardAt;
+                ? Math.max(mFollowers.quorumContactAt(now), mLeaderSeenAt)
+                : mLeaderSeenAt;
     }
 
     /**
@@ -276,8 +276,8 @@
      * leader, which knows that only once an entry of its own term is; false till then.
      */
     public boolean isCurrent() {
-        return mStored.appliedIndex() >= mHeardCommit
-                && mLog.termAt(mHeardCommit) == mBallot.term();
+        return mStored.appliedIndex() >= mLeaderCommitIndex
+                && mLog.termAt(mLeaderCommitIndex) == mBallot.term();
     }
 
     /** Returns the present term. */
@@ -317,13 +317,13 @@
 
     private void onElectionTimeout(long now) throws QuilldykeException {
         if (mRole == Role.CANDIDATE) {
-            mTimer.restartAfterFailure(now);
+            mTimer.restartAfterFailedElection(now);
         } else {
-            mTimer.restartSoon(now);
+            mTimer.restartForPreVote(now);
         }
         if (!mBallot.trusted()) {
-            askForState(now);
-        } else if (mCandidacy.isDue()) {
+            requestPeerStates(now);
+        } else if (mEligibility.onTimeout()) {
             startPreVote(now);
         } else {
             mLeader = "";
@@ -335,8 +335,8 @@
             stepDown(mBallot.term(), now);
             return;
         }
-        if (!mCandidacy.isVoter() && hasCommittedInTerm()) {
-            handOn(now);
+        if (!mEligibility.isVoter() && hasCommittedInTerm()) {
+            transferAndStepDown(now);
             return;
         }
         mActions.addAll(mFollowers.sendHeartbeats(mStored.snapshot(), mStored.commitIndex(), now));
@@ -346,48 +346,48 @@
         return mLog.termAt(mStored.commitIndex()) == mBallot.term();
     }
 
-    private void handOn(long now) {
+    private void transferAndStepDown(long now) {
         long term = mBallot.term();
-        mFollowers.mostComplete().ifPresent(id -> send(id, new PeerMessage.ElectNow(term)));
+        mFollowers.mostUpToDateVoter().ifPresent(id -> send(id, new PeerMessage.ElectNow(term)));
         stepDown(term, now);
     }
 
     private void startPreVote(long now) throws QuilldykeException {
         mRole = Role.PRE_CANDIDATE;
         mLeader = "";
-        mVotes.open(mSettings.self(), mBallot.term() + 1, true);
+        mVotes.start(mSettings.self(), mBallot.term() + 1, true);
         if (mVotes.isWon(mLog.membership())) {
             startElection(now, false);
             return;
         }
-        mActions.addAll(mVotes.requests(mLog, false));
+        mActions.addAll(mVotes.voteRequests(mLog, false));
     }
 
-    private void startElection(long now, boolean transfer) throws QuilldykeException {
+    private void startElection(long now, boolean leadershipTransfer) throws QuilldykeException {
         mRole = Role.CANDIDATE;
         saveBallot(new Ballot(mBallot.term() + 1, mSettings.self(), true));
-        mVotes.open(mSettings.self(), mBallot.term(), false);
+        mVotes.start(mSettings.self(), mBallot.term(), false);
         mTimer.restart(now);
         if (mVotes.isWon(mLog.membership())) {
             becomeLeader(now);
             return;
         }
-        mActions.addAll(mVotes.requests(mLog, transfer));
+        mActions.addAll(mVotes.voteRequests(mLog, leadershipTransfer));
     }
 
     private void onVoteRequest(String from, PeerMessage.VoteRequest m, long now) {
-        boolean leaderIsAlive =
+        boolean leaderIsActive =
                 mRole == Role.LEADER
                         ? holdsLease(now)
-                        : now - mLeaderHeardAt < mSettings.electionMillis();
-        if (leaderIsAlive && !m.transfer() || !mBallot.trusted()) {
+                        : now - mLeaderSeenAt < mSettings.electionMillis();
+        if (leaderIsActive && !m.leadershipTransfer() || !mBallot.trusted()) {
             send(from, new PeerMessage.VoteReply(mBallot.term(), false, m.preVote()));
             return;
         }
-        boolean complete = mLog.isCoveredBy(m.lastIndex(), m.lastTerm());
+        boolean upToDate = mLog.isNotNewerThan(m.lastIndex(), m.lastTerm());
         if (m.preVote()) {
-            boolean mayWin = m.term() > mBallot.term() && complete;
-            boolean granted = mayWin && mVotes.yieldsTo(from, m, mLog);
+            boolean mayWin = m.term() > mBallot.term() && upToDate;
+            boolean granted = mayWin && mVotes.yieldPreVoteTo(from, m, mLog);
             long term = granted ? m.term() : mBallot.term();
             send(from, new PeerMessage.VoteReply(term, granted, true));
             return;
@@ -395,7 +395,7 @@
         if (m.term() > mBallot.term()) {
             stepDown(m.term(), now);
         }
-        boolean granted = m.term() == mBallot.term() && mBallot.mayVoteFor(from) && complete;
+        boolean granted = m.term() == mBallot.term() && mBallot.mayVoteFor(from) && upToDate;
         if (granted) {
             saveBallot(new Ballot(mBallot.term(), from, true));
             mTimer.restart(now);
@@ -405,7 +405,7 @@
 
     private void onVoteReply(String from, PeerMessage.VoteReply m, long now)
             throws QuilldykeException {
-        boolean won = m.granted() && mVotes.isWonWith(from, m, mLog.membership());
+        boolean won = m.granted() && mVotes.addVote(from, m, mLog.membership());
         if (!m.granted() && m.term() > mBallot.term()) {
             stepDown(m.term(), now);
         } else if (won && m.preVote()) {
@@ -416,7 +416,7 @@
     }
 
     private void onElectNow(PeerMessage.ElectNow m, long now) throws QuilldykeException {
-        boolean mayLead = mBallot.trusted() && mCandidacy.isVoter();
+        boolean mayLead = mBallot.trusted() && mEligibility.isVoter();
         if (mayLead && m.term() == mBallot.term() && mRole != Role.LEADER) {
             startElection(now, true);
         }
@@ -424,27 +424,27 @@
 
     private void becomeLeader(long now) throws QuilldykeException {
         Invariant.check(mBallot.trusted(), "a leader's log is trusted");
-        mVotes.close();
+        mVotes.stop();
         mRole = Role.LEADER;
         mLeader = mSettings.self();
-        mLeaderHeardAt = now;
-        mTimer.restartWithLeader(now);
+        mLeaderSeenAt = now;
+        mTimer.restartOnLeaderContact(now);
         mFollowers = Followers.of(mSettings, mLog, mBallot.term(), now);
         mActions.add(new ReplicaAction.LeadershipWon(mBallot.term()));
         // All that was ever committed is committed again, at the latest, with the opening entry.
-        mHeardCommit = mLog.lastIndex() + 1;
-        mStored.append(LogEntry.opening(mBallot.term()));
-        mActions.addAll(mFollowers.sendNew(mStored.snapshot(), mStored.commitIndex(), now));
+        mLeaderCommitIndex = mLog.lastIndex() + 1;
+        mStored.append(LogEntry.noOp(mBallot.term()));
+        mActions.addAll(mFollowers.sendEntries(mStored.snapshot(), mStored.commitIndex(), now));
     }
 
     private void onAppendRequest(String from, PeerMessage.AppendRequest m, long now)
             throws QuilldykeException {
-        if (m.term() < mBallot.term() || mSurvey.isOpen(mBallot)) {
+        if (m.term() < mBallot.term() || mPeerStates.isIncomplete(mBallot)) {
             reply(from, false, mLog.lastIndex() + 1, m.sentAt());
             return;
         }
         follow(from, m.term(), now);
-        mHeardCommit = m.commitIndex();
+        mLeaderCommitIndex = m.commitIndex();
         if (m.previousIndex() < mLog.baseIndex()) {
             // The snapshot covers the start of this message, so the logs agree up to there.
             reply(from, true, Math.min(mLog.baseIndex(), mStored.syncedIndex()), m.sentAt());
@@ -454,24 +454,24 @@
             reply(from, false, Math.min(mLog.lastIndex() + 1, m.previousIndex()), m.sentAt());
             return;
         }
-        long end = m.previousIndex() + m.entries().size();
-        long replaced = mStored.accept(m.previousIndex() + 1, m.entries());
-        mMatchedIndex = Math.min(mMatchedIndex, replaced - 1);
-        if (!mBallot.trusted() && end >= m.lastIndex()) {
+        long lastSentIndex = m.previousIndex() + m.entries().size();
+        long firstReplaced = mStored.appendFromLeader(m.previousIndex() + 1, m.entries());
+        mMatchedIndex = Math.min(mMatchedIndex, firstReplaced - 1);
+        if (!mBallot.trusted() && lastSentIndex >= m.lastIndex()) {
             saveBallot(new Ballot(mBallot.term(), mBallot.votedFor(), true));
         }
-        mStored.commitTo(Math.min(m.commitIndex(), end));
-        acknowledge(from, end, m.sentAt());
+        mStored.commitTo(Math.min(m.commitIndex(), lastSentIndex));
+        acknowledge(from, lastSentIndex, m.sentAt());
     }
 
     /**
      * Acknowledges what is synced, now, and the rest when it is; a slow disk delays no heartbeat.
      */
-    private void acknowledge(String leader, long end, long sentAt) {
-        mMatchedIndex = Math.max(mMatchedIndex, end);
-        reply(leader, true, Math.min(end, mStored.syncedIndex()), sentAt);
-        if (mStored.syncedIndex() < end) {
-            mReplyOwedFor = sentAt;
+    private void acknowledge(String leader, long matchedIndex, long sentAt) {
+        mMatchedIndex = Math.max(mMatchedIndex, matchedIndex);
+        reply(leader, true, Math.min(matchedIndex, mStored.syncedIndex()), sentAt);
+        if (mStored.syncedIndex() < matchedIndex) {
+            mPendingAckSentAt = sentAt;
         }
     }
 
@@ -481,7 +481,7 @@
             stepDown(m.term(), now);
             return;
         }
-        if (mRole != Role.LEADER || m.term() != mBallot.term() || !mFollowers.follows(from)) {
+        if (mRole != Role.LEADER || m.term() != mBallot.term() || !mFollowers.isFollower(from)) {
             return;
         }
         Invariant.check(
@@ -489,11 +489,11 @@
                 "a follower holds no more than its leader");
         mFollowers.onAppendReply(from, m);
         advanceCommit();
-        mActions.addAll(mFollowers.sendNew(mStored.snapshot(), mStored.commitIndex(), now));
+        mActions.addAll(mFollowers.sendEntries(mStored.snapshot(), mStored.commitIndex(), now));
     }
 
     private void onSnapshotRequest(String from, PeerMessage.SnapshotRequest m, long now) {
-        if (m.term() < mBallot.term() || mSurvey.isOpen(mBallot)) {
+        if (m.term() < mBallot.term() || mPeerStates.isIncomplete(mBallot)) {
             reply(from, false, mLog.lastIndex() + 1, m.sentAt());
             return;
         }
@@ -502,37 +502,37 @@
             reply(from, true, Math.min(m.index(), mStored.syncedIndex()), m.sentAt());
             return;
         }
-        mIncoming.add(m);
-        if (mIncoming.size() < m.total()) {
+        mIncoming.addChunk(m);
+        if (mIncoming.size() < m.totalBytes()) {
             send(from, mIncoming.replyTo(m, mBallot.term()));
             return;
         }
-        mStored.install(m, mIncoming.take());
+        mStored.installSnapshot(m, mIncoming.take());
         acknowledge(from, m.index(), m.sentAt());
     }
 
     private void onSnapshotReply(String from, PeerMessage.SnapshotReply m, long now) {
-        if (mRole != Role.LEADER || m.term() != mBallot.term() || !mFollowers.follows(from)) {
+        if (mRole != Role.LEADER || m.term() != mBallot.term() || !mFollowers.isFollower(from)) {
             return;
         }
         mFollowers.onSnapshotReply(from, m);
-        mActions.addAll(mFollowers.sendNew(mStored.snapshot(), mStored.commitIndex(), now));
+        mActions.addAll(mFollowers.sendEntries(mStored.snapshot(), mStored.commitIndex(), now));
     }
 
-    private void askForState(long now) throws QuilldykeException {
-        if (mSurvey.others().isEmpty()) {
+    private void requestPeerStates(long now) throws QuilldykeException {
+        if (mPeerStates.otherVoters().isEmpty()) {
             saveBallot(new Ballot(mBallot.term(), "", true));
             startPreVote(now);
             return;
         }
-        mSurvey.others().forEach(other -> send(other, new PeerMessage.StateRequest()));
+        mPeerStates.otherVoters().forEach(other -> send(other, new PeerMessage.StateRequest()));
     }
 
     private void onStateReply(String from, PeerMessage.StateReply m, long now) {
         if (mBallot.trusted()) {
             return;
         }
-        Ballot next = mSurvey.add(from, m, mBallot);
+        Ballot next = mPeerStates.onReply(from, m, mBallot);
         if (!next.equals(mBallot)) {
             saveBallot(next);
         }
@@ -547,19 +547,19 @@
             mMatchedIndex = 0;
         }
         mLeader = leader;
-        mCandidacy.onLeader();
-        mLeaderHeardAt = now;
-        mTimer.restartWithLeader(now);
+        mEligibility.onLeaderContact();
+        mLeaderSeenAt = now;
+        mTimer.restartOnLeaderContact(now);
     }
 
     private void stepDown(long term, long now) {
         if (mRole == Role.LEADER) {
             mActions.add(new ReplicaAction.LeadershipLost(mBallot.term()));
         }
-        mVotes.close();
+        mVotes.stop();
         mRole = Role.FOLLOWER;
         mLeader = "";
-        mReplyOwedFor = NO_REPLY_OWED;
+        mPendingAckSentAt = NO_PENDING_ACK;
         if (term > mBallot.term()) {
             saveBallot(new Ballot(term, "", mBallot.trusted()));
         }
@@ -591,7 +591,7 @@
         mActions.add(new ReplicaAction.Send(to, message));
     }
 
-    private List<ReplicaAction> takeActions() {
+    private List<ReplicaAction> drainActions() {
         List<ReplicaAction> actions = mActions;
         mActions = new ArrayList<>();
         return actions;
--- a/quilldyke-core/src/main/java/org/quilldyke/control/ReplicaAction.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/ReplicaAction.java
@@ -35,13 +35,13 @@
     record AppendLog(long firstIndex, List<LogEntry> entries) implements ReplicaAction {}
 
     /** Store a received snapshot, drop the whole stored log, and load the state from it. */
-    record InstallSnapshot(long index, long term, Membership membership, byte[] state)
+    record InstallSnapshot(long index, long term, Membership membership, byte[] snapshot)
             implements ReplicaAction {}
 
     /** Send a message to another replica; it may be lost. */
     record Send(String to, PeerMessage message) implements ReplicaAction {
         /** Returns whether the ballot must be on disk before the message may leave. */
-        public boolean needsBallot() {
+        public boolean needsStoredBallot() {
             if (message instanceof PeerMessage.VoteRequest m) {
                 return !m.preVote();
             }
--- a/quilldyke-core/src/main/java/org/quilldyke/control/ReplicaSettings.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/ReplicaSettings.java
@@ -22,28 +22,28 @@
  * Who takes part and how patient a replica is.
  *
  * @param self this replica's id
- * @param initial the membership before the log's first change of it; empty for a replica that joins
+ * @param initialMembership the membership before the log's first change of it; empty for a replica that joins
  * @param heartbeatMillis how often a leader speaks to its followers
  * @param electionMillis how long a follower waits for its leader at least; twice that at most
  * @param leaseMillis how long a leader may act on what a quorum has heard; shorter than {@code
  *     electionMillis} by more than clocks drift in that time
  * @param batchBytes how many bytes of entries a message carries at most
- * @param pieceBytes how many bytes of a snapshot a message carries at most
- * @param votersNeeded how many voters there must be before a leader takes commands
+ * @param snapshotChunkBytes how many bytes of a snapshot a message carries at most
+ * @param minVoters how many voters there must be before a leader takes commands
  */
 public record ReplicaSettings(
         String self,
-        Membership initial,
+        Membership initialMembership,
         long heartbeatMillis,
         long electionMillis,
         long leaseMillis,
         int batchBytes,
-        int pieceBytes,
-        int votersNeeded) {
+        int snapshotChunkBytes,
+        int minVoters) {
     private static final int BATCH_BYTES = 256 << 10;
 
     /** Clocks of two machines drift by less than one part in this; real ones by some 20,000th. */
-    private static final int DRIFT_DIVISOR = 20;
+    private static final int CLOCK_DRIFT_DIVISOR = 20;
 
     /** Returns settings with the usual times, fit for delays of a few milliseconds. */
     public static ReplicaSettings of(String self, List<String> others) {
@@ -53,8 +53,8 @@
     }
 
     /** Returns settings with the usual times. */
-    public static ReplicaSettings of(String self, Membership initial) {
-        return new ReplicaSettings(self, initial, 50, 300, 250, BATCH_BYTES, BATCH_BYTES, 1);
+    public static ReplicaSettings of(String self, Membership initialMembership) {
+        return new ReplicaSettings(self, initialMembership, 50, 300, 250, BATCH_BYTES, BATCH_BYTES, 1);
     }
 
     /**
@@ -64,39 +64,39 @@
      * leader is elected as soon as its peers meet; counted a whole election timeout from its first
      * vote it came 0.41 s after (three starts of four replicas).
      */
-    public long startUpPromiseMillis() {
-        return leaseMillis + leaseMillis / DRIFT_DIVISOR;
+    public long startUpVoteDelayMillis() {
+        return leaseMillis + leaseMillis / CLOCK_DRIFT_DIVISOR;
     }
 
     /** Returns settings with other times. */
     public ReplicaSettings withTimes(long heartbeat, long election, long lease) {
         return new ReplicaSettings(
-                self, initial, heartbeat, election, lease, batchBytes, pieceBytes, votersNeeded);
+                self, initialMembership, heartbeat, election, lease, batchBytes, snapshotChunkBytes, minVoters);
     }
 
     /** Returns settings with other sizes of messages. */
-    public ReplicaSettings withSizes(int batch, int piece) {
+    public ReplicaSettings withMessageSizes(int batch, int snapshotChunk) {
         return new ReplicaSettings(
                 self,
-                initial,
+                initialMembership,
                 heartbeatMillis,
                 electionMillis,
                 leaseMillis,
                 batch,
-                piece,
-                votersNeeded);
+                snapshotChunk,
+                minVoters);
     }
 
     /** Returns settings of a group that must bear the loss of so many disks at once. */
-    public ReplicaSettings withToleratedLosses(int tolerated) {
+    public ReplicaSettings withToleratedLosses(int toleratedLosses) {
         return new ReplicaSettings(
                 self,
-                initial,
+                initialMembership,
                 heartbeatMillis,
                 electionMillis,
                 leaseMillis,
                 batchBytes,
-                pieceBytes,
-                2 * tolerated + 1);
+                snapshotChunkBytes,
+                2 * toleratedLosses + 1);
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/control/ReplicatedLog.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/ReplicatedLog.java
@@ -140,7 +140,7 @@
     }
 
     /** Returns whether a log that ends in the given entry is at least as complete as this one. */
-    boolean isCoveredBy(long otherLastIndex, long otherLastTerm) {
+    boolean isNotNewerThan(long otherLastIndex, long otherLastTerm) {
         if (otherLastTerm != lastTerm()) {
             return otherLastTerm > lastTerm();
         }
--- a/quilldyke-core/src/main/java/org/quilldyke/control/RollOut.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/RollOutPlanner.java
@@ -25,64 +25,64 @@
  * The next steps of a plan that rolls out a weight version.
  *
  * <p>Decides from the plan and the live targets alone, so a new leader goes on where the old one
- * stopped. At most {@link #LOADING_AT_ONCE} engines load at once, since loading slows down beyond,
+ * stopped. At most {@link #MAX_CONCURRENT_LOADS} engines load at once, since loading slows down beyond,
  * and an order whose target has vanished keeps its place until it returns or {@link #isStuck} ends
  * the plan.
  */
-public final class RollOut {
+public final class RollOutPlanner {
     /** Engines that may load weights at the same time. */
-    public static final int LOADING_AT_ONCE = 2;
+    public static final int MAX_CONCURRENT_LOADS = 2;
 
     /** An order that isn't reported done by then fails the plan. */
-    public static final long ORDER_LIMIT_MILLIS = 600_000;
+    public static final long ORDER_TIMEOUT_MILLIS = 600_000;
 
-    private RollOut() {}
+    private RollOutPlanner() {}
 
     /**
      * Returns what to propose next, none while orders are under way.
      *
      * @param plan a running plan
-     * @param live the live targets of the cell
+     * @param liveTargets the live targets of the cell
      * @param now the present time, in milliseconds since the epoch
      */
-    public static List<Command> next(Plan plan, Iterable<TargetRecord> live, long now) {
-        List<Command> next = new ArrayList<>();
+    public static List<Command> nextCommands(Plan plan, Iterable<TargetRecord> liveTargets, long now) {
+        List<Command> commands = new ArrayList<>();
         if (!(plan.intent() instanceof Intent.PutModel intent)) {
-            return next;
+            return commands;
         }
-        Set<String> alive = new HashSet<>();
-        int room = LOADING_AT_ONCE - plan.openOrders();
-        boolean missing = false;
-        for (TargetRecord target : live) {
+        Set<String> liveIds = new HashSet<>();
+        int freeSlots = MAX_CONCURRENT_LOADS - plan.openOrders();
+        boolean anyOutdated = false;
+        for (TargetRecord target : liveTargets) {
             if (!target.service().equals(intent.service())
                     || !target.model().equals(intent.name())) {
                 continue;
             }
-            alive.add(target.id());
+            liveIds.add(target.id());
             Plan.Order order = plan.orders().get(target.id());
             if (target.weights().equals(intent.weights())) {
                 if (order != null && !order.done()) {
-                    next.add(new Command.CloseOrder(plan.number(), target.id(), now));
+                    commands.add(new Command.CloseOrder(plan.number(), target.id(), now));
                 }
                 continue;
             }
-            missing = true;
-            if ((order == null || order.done()) && room > 0) {
-                room--;
-                next.add(
+            anyOutdated = true;
+            if ((order == null || order.done()) && freeSlots > 0) {
+                freeSlots--;
+                commands.add(
                         new Command.RecordOrder(plan.number(), target.id(), intent.weights(), now));
             }
         }
         for (Plan.Order order : plan.orders().values()) {
-            if (!order.done() && now - order.recordedAt() > ORDER_LIMIT_MILLIS) {
-                String why = order.target() + " has not loaded " + order.weights();
-                return List.of(new Command.FailPlan(plan.number(), why, now));
+            if (!order.done() && now - order.recordedAt() > ORDER_TIMEOUT_MILLIS) {
+                String reason = order.target() + " has not loaded " + order.weights();
+                return List.of(new Command.FailPlan(plan.number(), reason, now));
             }
         }
-        boolean waits = plan.openOrders() > 0;
-        if (!missing && !waits && !alive.isEmpty()) {
-            next.add(new Command.FinishPlan(plan.number(), now));
+        boolean hasOpenOrders = plan.openOrders() > 0;
+        if (!anyOutdated && !hasOpenOrders && !liveIds.isEmpty()) {
+            commands.add(new Command.FinishPlan(plan.number(), now));
         }
-        return next;
+        return commands;
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/control/StoredLog.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/StoredLog.java
@@ -28,7 +28,7 @@
     private long mCommitIndex;
     private long mAppliedIndex;
     private long mSyncedIndex;
-    private long mStoreEpoch;
+    private long mTruncationEpoch;
 
     private StoredLog(ReplicatedLog log, byte[] snapshot, Consumer<ReplicaAction> actions) {
         mLog = log;
@@ -43,7 +43,7 @@
     static StoredLog restore(
             ReplicaSettings settings, DurableState disk, Consumer<ReplicaAction> actions) {
         Membership base =
-                disk.snapshotIndex() == 0 ? settings.initial() : disk.snapshotMembership();
+                disk.snapshotIndex() == 0 ? settings.initialMembership() : disk.snapshotMembership();
         ReplicatedLog log =
                 new ReplicatedLog(disk.snapshotIndex(), disk.snapshotTerm(), base, disk.entries());
         return new StoredLog(log, disk.snapshot(), actions);
@@ -70,13 +70,13 @@
     }
 
     /** Returns a number that changes whenever stored entries are wanted removed. */
-    long storeEpoch() {
-        return mStoreEpoch;
+    long truncationEpoch() {
+        return mTruncationEpoch;
     }
 
     /** Notes a sync that began at the given end of the log; returns whether it still counts. */
     boolean onSynced(long index, long epoch) {
-        if (epoch != mStoreEpoch) {
+        if (epoch != mTruncationEpoch) {
             return false;
         }
         mSyncedIndex = Math.min(index, mLog.lastIndex());
@@ -94,37 +94,37 @@
      *
      * @return the first index that was replaced, or {@link Long#MAX_VALUE} if none was
      */
-    long accept(long firstIndex, List<LogEntry> entries) throws QuilldykeException {
-        int known = 0;
-        while (known < entries.size()
-                && mLog.termAt(firstIndex + known) == entries.get(known).term()) {
-            known++;
+    long appendFromLeader(long firstIndex, List<LogEntry> entries) throws QuilldykeException {
+        int heldCount = 0;
+        while (heldCount < entries.size()
+                && mLog.termAt(firstIndex + heldCount) == entries.get(heldCount).term()) {
+            heldCount++;
         }
-        if (known == entries.size()) {
+        if (heldCount == entries.size()) {
             return Long.MAX_VALUE;
         }
-        long start = firstIndex + known;
-        long replaced = Long.MAX_VALUE;
-        if (start <= mLog.lastIndex()) {
-            Invariant.check(start > mCommitIndex, "a committed entry is never removed");
-            mLog.truncateFrom(start);
-            mSyncedIndex = Math.min(mSyncedIndex, start - 1);
-            mStoreEpoch++;
-            replaced = start;
-            mActions.accept(new ReplicaAction.TruncateLog(start));
+        long firstNew = firstIndex + heldCount;
+        long firstReplaced = Long.MAX_VALUE;
+        if (firstNew <= mLog.lastIndex()) {
+            Invariant.check(firstNew > mCommitIndex, "a committed entry is never removed");
+            mLog.truncateFrom(firstNew);
+            mSyncedIndex = Math.min(mSyncedIndex, firstNew - 1);
+            mTruncationEpoch++;
+            firstReplaced = firstNew;
+            mActions.accept(new ReplicaAction.TruncateLog(firstNew));
         }
-        List<LogEntry> added = List.copyOf(entries.subList(known, entries.size()));
+        List<LogEntry> added = List.copyOf(entries.subList(heldCount, entries.size()));
         added.forEach(mLog::append);
-        mActions.accept(new ReplicaAction.AppendLog(start, added));
-        return replaced;
+        mActions.accept(new ReplicaAction.AppendLog(firstNew, added));
+        return firstReplaced;
     }
 
     /** Replaces the log by a leader's snapshot. */
-    void install(PeerMessage.SnapshotRequest m, byte[] snapshot) {
+    void installSnapshot(PeerMessage.SnapshotRequest m, byte[] snapshot) {
         mLog.resetTo(m.index(), m.indexTerm(), m.membership());
         mSnapshot = snapshot;
         mSyncedIndex = Math.min(mSyncedIndex, mCommitIndex);
-        mStoreEpoch++;
+        mTruncationEpoch++;
         mCommitIndex = m.index();
         mAppliedIndex = m.index();
         mActions.accept(
@@ -143,15 +143,15 @@
     }
 
     /** Replaces the applied entries by a snapshot of the state. */
-    Compaction compact(byte[] state) {
+    Compaction compact(byte[] snapshot) {
         long term = mLog.termAt(mAppliedIndex);
         mLog.compactTo(mAppliedIndex);
-        mSnapshot = state;
+        mSnapshot = snapshot;
         return new Compaction(
                 mAppliedIndex,
                 term,
                 mLog.baseMembership(),
-                state,
+                snapshot,
                 mLog.entriesFrom(mAppliedIndex + 1, Integer.MAX_VALUE));
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/control/VoteCount.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/VoteCount.java
@@ -21,18 +21,18 @@
 
 /** The votes that a candidate has been given in the election that is open, if one is. */
 final class VoteCount {
-    private final Set<String> mVoters = new HashSet<>();
+    private final Set<String> mGrantedBy = new HashSet<>();
     private String mSelf = "";
-    private boolean mOpen;
+    private boolean mActive;
     private boolean mPreVote;
     private long mTerm;
 
     /** Opens an election, with the candidate's own vote. */
-    void open(String self, long term, boolean preVote) {
-        mVoters.clear();
-        mVoters.add(self);
+    void start(String self, long term, boolean preVote) {
+        mGrantedBy.clear();
+        mGrantedBy.add(self);
         mSelf = self;
-        mOpen = true;
+        mActive = true;
         mPreVote = preVote;
         mTerm = term;
     }
@@ -41,12 +41,12 @@
      * Returns the requests to all other voters for the election that is open.
      *
      * @param log the candidate's
-     * @param transfer whether the leader itself asked for the election
+     * @param leadershipTransfer whether the leader itself asked for the election
      */
-    List<ReplicaAction> requests(ReplicatedLog log, boolean transfer) {
+    List<ReplicaAction> voteRequests(ReplicatedLog log, boolean leadershipTransfer) {
         PeerMessage request =
                 new PeerMessage.VoteRequest(
-                        mTerm, log.lastIndex(), log.lastTerm(), mPreVote, transfer);
+                        mTerm, log.lastIndex(), log.lastTerm(), mPreVote, leadershipTransfer);
         return log.membership().otherVoters(mSelf).stream()
                 .<ReplicaAction>map(other -> new ReplicaAction.Send(other, request))
                 .toList();
@@ -58,32 +58,32 @@
      * id goes first: three that all began an election voted each for itself, and a leader came 0.3
      * to 0.7 s later (seen at both losses of power that were looked at).
      */
-    boolean yieldsTo(String from, PeerMessage.VoteRequest m, ReplicatedLog log) {
-        boolean same = m.lastIndex() == log.lastIndex() && m.lastTerm() == log.lastTerm();
-        boolean asking = mOpen && mPreVote;
-        if (asking && same && mSelf.compareTo(from) < 0) {
+    boolean yieldPreVoteTo(String from, PeerMessage.VoteRequest m, ReplicatedLog log) {
+        boolean sameLog = m.lastIndex() == log.lastIndex() && m.lastTerm() == log.lastTerm();
+        boolean collectingPreVotes = mActive && mPreVote;
+        if (collectingPreVotes && sameLog && mSelf.compareTo(from) < 0) {
             return false;
         }
-        mOpen &= !asking;
+        mActive &= !collectingPreVotes;
         return true;
     }
 
     /** Counts no more votes. */
-    void close() {
-        mOpen = false;
+    void stop() {
+        mActive = false;
     }
 
     /** Counts a vote, if it is for this election; returns whether it is won now. */
-    boolean isWonWith(String from, PeerMessage.VoteReply m, Membership membership) {
-        if (!mOpen || m.preVote() != mPreVote || m.term() != mTerm || !membership.isVoter(from)) {
+    boolean addVote(String from, PeerMessage.VoteReply m, Membership membership) {
+        if (!mActive || m.preVote() != mPreVote || m.term() != mTerm || !membership.isVoter(from)) {
             return false;
         }
-        mVoters.add(from);
+        mGrantedBy.add(from);
         return isWon(membership);
     }
 
     /** Returns whether a majority has voted for the candidate, whose own vote may not count. */
     boolean isWon(Membership membership) {
-        return mVoters.stream().filter(membership::isVoter).count() >= membership.quorum();
+        return mGrantedBy.stream().filter(membership::isVoter).count() >= membership.quorum();
     }
 }
--- a/quilldyke-core/src/test/java/org/quilldyke/OutcomeTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/OutcomeTest.java
@@ -22,16 +22,16 @@
 class OutcomeTest {
     @Test
     void notRunOnlyIfNoAttemptMayHaveRun() {
-        assertThat(Outcome.NOT_RUN.and(Outcome.NOT_RUN)).isEqualTo(Outcome.NOT_RUN);
-        assertThat(Outcome.NOT_RUN.and(Outcome.UNKNOWN)).isEqualTo(Outcome.UNKNOWN);
-        assertThat(Outcome.UNKNOWN.and(Outcome.NOT_RUN)).isEqualTo(Outcome.UNKNOWN);
-        assertThat(Outcome.RAN.and(Outcome.UNKNOWN)).isEqualTo(Outcome.RAN);
-        assertThat(Outcome.UNKNOWN.and(Outcome.RAN)).isEqualTo(Outcome.RAN);
-        assertThat(Outcome.NOT_RUN.and(Outcome.RAN)).isEqualTo(Outcome.RAN);
+        assertThat(Outcome.NOT_RUN.combinedWith(Outcome.NOT_RUN)).isEqualTo(Outcome.NOT_RUN);
+        assertThat(Outcome.NOT_RUN.combinedWith(Outcome.UNKNOWN)).isEqualTo(Outcome.UNKNOWN);
+        assertThat(Outcome.UNKNOWN.combinedWith(Outcome.NOT_RUN)).isEqualTo(Outcome.UNKNOWN);
+        assertThat(Outcome.RAN.combinedWith(Outcome.UNKNOWN)).isEqualTo(Outcome.RAN);
+        assertThat(Outcome.UNKNOWN.combinedWith(Outcome.RAN)).isEqualTo(Outcome.RAN);
+        assertThat(Outcome.NOT_RUN.combinedWith(Outcome.RAN)).isEqualTo(Outcome.RAN);
     }
 
     @Test
-    void whatMayHaveRunIsRetriedOnlyIfRepeatable() {
+    void possiblyRunRequestIsRetriedOnlyIfRepeatable() {
         assertThat(Outcome.NOT_RUN.mayRetry(false)).isTrue();
         assertThat(Outcome.RAN.mayRetry(false)).isFalse();
         assertThat(Outcome.UNKNOWN.mayRetry(false)).isFalse();
--- a/quilldyke-core/src/test/java/org/quilldyke/control/ConfigurationTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/control/ConfigurationTest.java
@@ -29,9 +29,9 @@
         Random random = new Random(seed);
         Configuration newest = Configuration.empty();
         Configuration older = newest;
-        int kept = random.nextInt(20);
+        int olderAt = random.nextInt(20);
         for (int i = 0; i < 20; i++) {
-            if (i == kept) {
+            if (i == olderAt) {
                 older = newest;
             }
             newest = changed(newest, random);
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void deltaThatStartsLaterIsNotTaken() {
+    void deltaStartingAfterTheVersionIsIgnored() {
         Configuration newest = Configuration.empty();
         for (int i = 0; i < 5; i++) {
             newest = newest.with(new Configuration.TargetPolicy("t" + i, true, 0));
--- a/quilldyke-core/src/test/java/org/quilldyke/control/ControlStateTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/control/ControlStateTest.java
@@ -30,7 +30,7 @@
 
     @Test
     void nothingChangesBeforeTheConfirmation() throws QuilldykeException {
-        CommandResult planned = state("1", "a", retire("e1"));
+        CommandResult planned = stateIntent("1", "a", retire("e1"));
 
         assertThat(planned.isOk()).isTrue();
         assertThat(planned.plan().steps()).isNotEmpty();
@@ -40,29 +40,29 @@
     }
 
     @Test
-    void resendGetsTheFirstAnswer() throws QuilldykeException {
-        CommandResult first = state("1", "a", retire("e1"));
+    void resentCommandReturnsTheFirstResult() throws QuilldykeException {
+        CommandResult first = stateIntent("1", "a", retire("e1"));
         CommandResult confirmed = confirm("1");
 
-        assertThat(state("1", "a", retire("e1")).plan().steps()).isEqualTo(first.plan().steps());
+        assertThat(stateIntent("1", "a", retire("e1")).plan().steps()).isEqualTo(first.plan().steps());
         assertThat(confirm("1").plan()).isEqualTo(confirmed.plan());
         assertThat(mState.configuration().version()).isEqualTo(1);
     }
 
     @Test
-    void otherIntentUnderTheSameNumberGetsWhatWon() throws QuilldykeException {
-        state("1", "a", retire("e1"));
+    void conflictingIntentReturnsTheAcceptedPlan() throws QuilldykeException {
+        stateIntent("1", "a", retire("e1"));
 
-        CommandResult lost = state("1", "b", retire("e2"));
+        CommandResult conflict = stateIntent("1", "b", retire("e2"));
 
-        assertThat(lost.code()).isEqualTo(ResultCode.PLAN_CONFLICT);
-        assertThat(lost.plan().intentId()).isEqualTo("a");
+        assertThat(conflict.code()).isEqualTo(ResultCode.PLAN_CONFLICT);
+        assertThat(conflict.plan().intentId()).isEqualTo("a");
     }
 
     @Test
-    void planOverChangedGroundIsStale() throws QuilldykeException {
-        state("1", "a", new Intent.PutOrganisation("hall", List.of(HASH), 1));
-        state("2", "b", new Intent.PutOrganisation("hall", List.of(HASH), 2));
+    void planIsStaleOnceItsObjectsHaveChanged() throws QuilldykeException {
+        stateIntent("1", "a", new Intent.PutOrganisation("hall", List.of(HASH), 1));
+        stateIntent("2", "b", new Intent.PutOrganisation("hall", List.of(HASH), 2));
         confirm("2");
 
         assertThat(confirm("1").code()).isEqualTo(ResultCode.PLAN_STALE);
@@ -72,10 +72,10 @@
 
     @Test
     void tokenOfAnotherOrganisationIsRefused() throws QuilldykeException {
-        state("1", "a", new Intent.PutOrganisation("hall", List.of(HASH), 0));
+        stateIntent("1", "a", new Intent.PutOrganisation("hall", List.of(HASH), 0));
         confirm("1");
 
-        CommandResult result = state("2", "b", new Intent.PutOrganisation("x", List.of(HASH), 0));
+        CommandResult result = stateIntent("2", "b", new Intent.PutOrganisation("x", List.of(HASH), 0));
 
         assertThat(result.code()).isEqualTo(ResultCode.INTENT_INVALID);
         assertThat(result.plan()).isNull();
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void claimOfALostRunTurnsUnknownAndThenExpires() throws QuilldykeException {
+    void claimOfAnUnfinishedRunBecomesUnknownAndThenExpires() throws QuilldykeException {
         claim("k", "f", "r1", 0);
 
         assertThat(claim("k", "f", "r2", 100).code()).isEqualTo(ResultCode.RUN_UNKNOWN);
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void releasedClaimCanBeTakenAgain() throws QuilldykeException {
+    void releasedClaimCanBeGrantedAgain() throws QuilldykeException {
         claim("k", "f", "r1", 0);
         apply(new Command.ReleaseClaim("o", "k", "r2", 1));
         assertThat(claim("k", "f", "r3", 2).code()).isEqualTo(ResultCode.RUN_IN_PROGRESS);
@@ -116,20 +116,20 @@
     }
 
     @Test
-    void snapshotHoldsEverything() throws QuilldykeException {
-        state("1", "a", retire("e1"));
+    void snapshotRestoresConfigurationPlansAndClaims() throws QuilldykeException {
+        stateIntent("1", "a", retire("e1"));
         confirm("1");
         claim("k", "f", "r1", 10);
 
         mState = ControlState.restore(mState.snapshot());
 
         assertThat(mState.configuration().isRetired("e1")).isTrue();
-        assertThat(state("1", "b", retire("e2")).code()).isEqualTo(ResultCode.PLAN_CONFLICT);
+        assertThat(stateIntent("1", "b", retire("e2")).code()).isEqualTo(ResultCode.PLAN_CONFLICT);
         assertThat(claim("k", "f", "r2", 20).code()).isEqualTo(ResultCode.RUN_IN_PROGRESS);
         assertThat(claim("k", "f", "r3", 1010).isOk()).isTrue();
     }
 
-    private CommandResult state(String number, String id, Intent intent) throws QuilldykeException {
+    private CommandResult stateIntent(String number, String id, Intent intent) throws QuilldykeException {
         return apply(new Command.StateIntent(number, id, "op", intent, 4, 0));
     }
 
--- a/quilldyke-core/src/test/java/org/quilldyke/control/DemotedVoterTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/control/DemotedVoterTest.java
@@ -33,22 +33,22 @@
     private static final Membership.Member DEMOTED = new Membership.Member("d", "d");
     private static final Membership FOUR = THREE.withStandby(DEMOTED).withPromoted(DEMOTED);
 
-    private final ReplicaMesh mMesh = new ReplicaMesh();
+    private final ReplicaCluster mCluster = new ReplicaCluster();
 
     @Test
-    void groupGoesOnThoughOnlyTheDemotedOneHoldsTheNewestEntry() throws Exception {
+    void leaderIsElectedWhenOnlyTheDemotedVoterHoldsTheNewestEntry() throws Exception {
         for (int seed = 1; seed <= SEEDS; seed++) {
-            startAfterTheLoss(seed);
+            startWithoutTheFormerLeader(seed);
             long now = 1;
-            while (mMesh.leaderWithItsTermCommitted() == null && now < ELECTED_BY_MILLIS) {
-                mMesh.step(now++);
+            while (mCluster.leaderWithCommittedTerm() == null && now < ELECTED_BY_MILLIS) {
+                mCluster.step(now++);
             }
-            assertWithMessage("seed " + seed).that(mMesh.leaderWithItsTermCommitted()).isNotNull();
+            assertWithMessage("seed " + seed).that(mCluster.leaderWithCommittedTerm()).isNotNull();
 
             for (; now < SETTLED_BY_MILLIS; now++) {
-                mMesh.step(now);
+                mCluster.step(now);
             }
-            Replica leader = mMesh.leaderWithItsTermCommitted();
+            Replica leader = mCluster.leaderWithCommittedTerm();
             assertWithMessage("seed " + seed).that(leader).isNotNull();
             assertThat(leader.commitIndex()).isEqualTo(leader.lastIndex());
             assertThat(leader.lastIndex()).isGreaterThan(4);
@@ -59,41 +59,41 @@
 
     /** The demoted one is not a voter: its own vote doesn't count, nor is it asked first. */
     @Test
-    void demotedOneLeavesElectionsToTheVotersWhileTheyCanHoldThem() throws Exception {
+    void demotedVoterIsNotElectedWhileAVoterCanBe() throws Exception {
         for (int seed = 1; seed <= SEEDS; seed++) {
-            mMesh.clear();
-            List<LogEntry> log = List.of(entry(1), ofFour(), entry(2), ofThree());
+            mCluster.clear();
+            List<LogEntry> log = List.of(entry(1), promotion(), entry(2), demotion());
             for (String id : List.of("b", "c", "d")) {
                 add(id, log, seed);
             }
             for (long now = 1; now < ELECTED_BY_MILLIS; now++) {
-                mMesh.step(now);
-                assertWithMessage("seed " + seed).that(mMesh.get("d").isLeader()).isFalse();
+                mCluster.step(now);
+                assertWithMessage("seed " + seed).that(mCluster.get("d").isLeader()).isFalse();
             }
-            assertThat(mMesh.leaderWithItsTermCommitted()).isNotNull();
+            assertThat(mCluster.leaderWithCommittedTerm()).isNotNull();
         }
     }
 
-    private void startAfterTheLoss(int seed) {
-        mMesh.clear();
-        add("b", List.of(entry(1), ofFour(), entry(2)), seed);
+    private void startWithoutTheFormerLeader(int seed) {
+        mCluster.clear();
+        add("b", List.of(entry(1), promotion(), entry(2)), seed);
         add("c", List.of(entry(1)), seed);
-        add("d", List.of(entry(1), ofFour(), entry(2), ofThree()), seed);
+        add("d", List.of(entry(1), promotion(), entry(2), demotion()), seed);
     }
 
     private static LogEntry entry(int term) {
         return new LogEntry(term, new byte[] {1});
     }
 
-    private static LogEntry ofFour() {
+    private static LogEntry promotion() {
         return LogEntry.ofMembership(2, FOUR);
     }
 
-    private static LogEntry ofThree() {
+    private static LogEntry demotion() {
         return LogEntry.ofMembership(2, FOUR.withDemoted(DEMOTED));
     }
 
     private void add(String id, List<LogEntry> log, int seed) {
-        mMesh.add(ReplicaSettings.of(id, THREE), log, seed);
+        mCluster.add(ReplicaSettings.of(id, THREE), log, seed);
     }
 }
--- a/quilldyke-core/src/test/java/org/quilldyke/control/ElectionTimerTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/control/ElectionTimerTest.java
@@ -25,44 +25,44 @@
     private static final long ELECTION_MILLIS = 400;
 
     @Test
-    void asksSoonAfterTheStart() {
+    void firstPreVoteIsDueSoonAfterStart() {
         ElectionTimer timer = timer(0);
         assertThat(timer.isDue(49)).isFalse();
         assertThat(timer.isDue(100)).isTrue();
     }
 
     @Test
-    void waitsAWholeTimeoutOnceALeaderWasHeard() {
+    void waitsAFullTimeoutAfterLeaderContact() {
         ElectionTimer timer = timer(0);
-        timer.restartWithLeader(50);
+        timer.restartOnLeaderContact(50);
         assertThat(timer.isDue(50 + ELECTION_MILLIS - 1)).isFalse();
         assertThat(timer.isDue(50 + 2 * ELECTION_MILLIS)).isTrue();
     }
 
     @Test
-    void waitsLongerAfterEachElectionThatFailed() {
+    void backsOffAfterEachFailedElection() {
         ElectionTimer timer = timer(0);
-        timer.restartAfterFailure(0);
+        timer.restartAfterFailedElection(0);
         assertThat(timer.isDue(2 * ELECTION_MILLIS - 1)).isFalse();
-        timer.restartAfterFailure(0);
+        timer.restartAfterFailedElection(0);
         assertThat(timer.isDue(4 * ELECTION_MILLIS - 1)).isFalse();
         assertThat(timer.isDue(8 * ELECTION_MILLIS)).isTrue();
     }
 
     @Test
-    void asksAgainSoonButNotAtTheSameTimeAsOthers() {
+    void repeatedPreVotesAreSoonAndRandomized() {
         ElectionTimer first = timer(1);
         ElectionTimer second = timer(2);
-        first.restartSoon(0);
-        second.restartSoon(0);
-        long firstDue = due(first);
-        long secondDue = due(second);
+        first.restartForPreVote(0);
+        second.restartForPreVote(0);
+        long firstDue = dueAt(first);
+        long secondDue = dueAt(second);
         assertThat(firstDue).isAtMost(ELECTION_MILLIS / 4);
         assertThat(secondDue).isAtMost(ELECTION_MILLIS / 4);
         assertThat(firstDue).isNotEqualTo(secondDue);
     }
 
-    private static long due(ElectionTimer timer) {
+    private static long dueAt(ElectionTimer timer) {
         long now = 0;
         while (!timer.isDue(now)) {
             now++;
--- a/quilldyke-core/src/test/java/org/quilldyke/control/VoterWaitTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/control/MinimumVotersWaitTest.java
@@ -25,14 +25,14 @@
  * A manifest that three voters acknowledged was gone once the two lost their disks that the group
  * must bear to lose.
  */
-class VoterWaitTest {
+class MinimumVotersWaitTest {
     private static final Membership THREE = Membership.ofIds(List.of("a", "b", "c"));
     private static final Membership FIVE = Membership.ofIds(List.of("a", "b", "c", "d", "e"));
 
     @Test
-    void enoughVotersAreWaitedFor() {
-        VoterWait wait = new VoterWait(5, 1000);
-        wait.tick(1000 + VoterWait.LONGEST_MILLIS - 1);
+    void waitsForEnoughVoters() {
+        MinimumVotersWait wait = new MinimumVotersWait(5, 1000);
+        wait.update(1000 + MinimumVotersWait.MAX_WAIT_MILLIS - 1);
 
         assertThat(wait.isOver(THREE)).isFalse();
         assertThat(wait.isOver(FIVE)).isTrue();
@@ -40,16 +40,16 @@
 
     /** Machines that don't come are lost, and the rest of the group goes on. */
     @Test
-    void waitEndsWithoutTheMachinesThatDontCome() {
-        VoterWait wait = new VoterWait(5, 1000);
-        wait.tick(1000 + VoterWait.LONGEST_MILLIS);
+    void waitTimesOutWithoutMissingMachines() {
+        MinimumVotersWait wait = new MinimumVotersWait(5, 1000);
+        wait.update(1000 + MinimumVotersWait.MAX_WAIT_MILLIS);
 
         assertThat(wait.isOver(THREE)).isTrue();
     }
 
     /** A replica alone leads at once, and takes no command before it has waited. */
     @Test
-    void leaderTakesNoCommandBefore() throws Exception {
+    void leaderRefusesCommandsUntilTheWaitIsOver() throws Exception {
         ReplicaSettings settings =
                 ReplicaSettings.of("a", Membership.ofIds(List.of("a"))).withToleratedLosses(1);
         DurableState disk =
@@ -63,7 +63,7 @@
 
         assertThat(replica.propose(new byte[] {1})).isEqualTo(-1);
 
-        replica.tick(now + VoterWait.LONGEST_MILLIS);
+        replica.tick(now + MinimumVotersWait.MAX_WAIT_MILLIS);
         assertThat(replica.propose(new byte[] {1})).isGreaterThan(0);
     }
 }
--- a/quilldyke-core/src/test/java/org/quilldyke/control/ReplicaMesh.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/control/ReplicaCluster.java
@@ -24,15 +24,15 @@
 import java.util.TreeMap;
 
 /** Replicas that reach each other within a millisecond, in virtual time. */
-final class ReplicaMesh {
+final class ReplicaCluster {
     private static final long TERM = 2;
 
     private final Map<String, Replica> mReplicas = new TreeMap<>();
-    private Deque<Mail> mMail = new ArrayDeque<>();
+    private Deque<Delivery> mDeliveries = new ArrayDeque<>();
 
     void clear() {
         mReplicas.clear();
-        mMail.clear();
+        mDeliveries.clear();
     }
 
     /** Adds a replica that starts with a log of term 2. */
@@ -49,7 +49,7 @@
     }
 
     /** Returns the leader that has committed an entry of its term, or null. */
-    Replica leaderWithItsTermCommitted() {
+    Replica leaderWithCommittedTerm() {
         return mReplicas.values().stream()
                 .filter(Replica::isLeader)
                 .filter(replica -> replica.termAt(replica.commitIndex()) == replica.term())
@@ -60,40 +60,40 @@
     /** Has a leader change the membership; what follows from it is delivered later. */
     void propose(Replica leader, Membership next, long now) throws Exception {
         leader.proposeMembership(next);
-        carryOut(leader.leader(), leader.tick(now), now);
+        perform(leader.leader(), leader.tick(now), now);
     }
 
     /** Lets a millisecond pass, in which each message arrives and each write is synced. */
     void step(long now) throws Exception {
-        Deque<Mail> due = mMail;
-        mMail = new ArrayDeque<>();
-        for (Mail mail : due) {
-            Replica to = mReplicas.get(mail.to());
+        Deque<Delivery> due = mDeliveries;
+        mDeliveries = new ArrayDeque<>();
+        for (Delivery delivery : due) {
+            Replica to = mReplicas.get(delivery.to());
             if (to != null) {
-                carryOut(mail.to(), to.receive(mail.from(), mail.message(), now), now);
+                perform(delivery.to(), to.receive(delivery.from(), delivery.message(), now), now);
             }
         }
         for (Map.Entry<String, Replica> replica : mReplicas.entrySet()) {
-            carryOut(replica.getKey(), replica.getValue().tick(now), now);
+            perform(replica.getKey(), replica.getValue().tick(now), now);
         }
     }
 
-    private void carryOut(String id, List<ReplicaAction> actions, long now) throws Exception {
+    private void perform(String id, List<ReplicaAction> actions, long now) throws Exception {
         Replica replica = mReplicas.get(id);
-        List<ReplicaAction> more = new ArrayList<>();
+        List<ReplicaAction> followUps = new ArrayList<>();
         for (ReplicaAction action : actions) {
             if (action instanceof ReplicaAction.Send send) {
-                mMail.add(new Mail(id, send.to(), send.message()));
+                mDeliveries.add(new Delivery(id, send.to(), send.message()));
             } else if (action instanceof ReplicaAction.SaveBallot save) {
                 replica.onBallotStored(save.ballot(), now);
             } else if (action instanceof ReplicaAction.AppendLog) {
-                more.addAll(replica.onSynced(replica.lastIndex(), replica.storeEpoch()));
+                followUps.addAll(replica.onSynced(replica.lastIndex(), replica.truncationEpoch()));
             }
         }
-        if (!more.isEmpty()) {
-            carryOut(id, more, now);
+        if (!followUps.isEmpty()) {
+            perform(id, followUps, now);
         }
     }
 
-    private record Mail(String from, String to, PeerMessage message) {}
+    private record Delivery(String from, String to, PeerMessage message) {}
 }
--- a/quilldyke-core/src/test/java/org/quilldyke/control/ReplicaCurrentTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/control/ReplicaCurrentTest.java
@@ -28,7 +28,7 @@
 class ReplicaCurrentTest {
     @Test
     void newLeadersFirstHeartbeatDoesNotMakeAFollowerCurrent() throws Exception {
-        LogEntry old = LogEntry.opening(1);
+        LogEntry oldEntry = LogEntry.noOp(1);
         DurableState disk =
                 new DurableState(
                         new Ballot(1, "b", true),
@@ -36,7 +36,7 @@
                         0,
                         new byte[0],
                         Membership.empty(),
-                        List.of(old, old, old));
+                        List.of(oldEntry, oldEntry, oldEntry));
         Replica replica =
                 Replica.restore(
                         ReplicaSettings.of("a", List.of("b", "c")),
@@ -49,8 +49,8 @@
         replica.receive("b", new PeerMessage.AppendRequest(2, 3, 1, List.of(), 0, 4, 0), 1);
         assertThat(replica.isCurrent()).isFalse();
 
-        List<LogEntry> opening = List.of(LogEntry.opening(2));
-        replica.receive("b", new PeerMessage.AppendRequest(2, 3, 1, opening, 1, 4, 2), 3);
+        List<LogEntry> noOp = List.of(LogEntry.noOp(2));
+        replica.receive("b", new PeerMessage.AppendRequest(2, 3, 1, noOp, 1, 4, 2), 3);
         assertThat(replica.isCurrent()).isFalse();
 
         replica.receive("b", new PeerMessage.AppendRequest(2, 4, 2, List.of(), 4, 4, 4), 5);
--- a/quilldyke-core/src/test/java/org/quilldyke/control/RollOutTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/control/RollOutPlannerTest.java
@@ -23,29 +23,29 @@
 import org.quilldyke.QuilldykeException;
 import org.quilldyke.engine.TargetRecord;
 
-class RollOutTest {
+class RollOutPlannerTest {
     private final ControlState mState = ControlState.create();
-    private final String[] mLoaded = {"w1", "w1", "w1", "w1", "w1"};
+    private final String[] mLoadedWeights = {"w1", "w1", "w1", "w1", "w1"};
     private long mIndex;
 
     @Test
-    void twoEnginesLoadAtOnceUntilAllHave() throws QuilldykeException {
+    void twoEnginesLoadAtOnceUntilAllAreUpdated() throws QuilldykeException {
         startRollOut();
-        int most = 0;
+        int maxOpenOrders = 0;
         for (int round = 0; round < 40; round++) {
             applyNext(round);
-            most = Math.max(most, plan().openOrders());
+            maxOpenOrders = Math.max(maxOpenOrders, plan().openOrders());
             finishOneLoad();
         }
 
-        assertThat(most).isEqualTo(2);
+        assertThat(maxOpenOrders).isEqualTo(2);
         assertThat(plan().state()).isEqualTo(Plan.State.DONE);
         assertThat(mState.configuration().models().get("lm").accepts("w1")).isFalse();
-        assertThat(mLoaded).asList().doesNotContain("w1");
+        assertThat(mLoadedWeights).asList().doesNotContain("w1");
     }
 
     @Test
-    void bothVersionsAreAcceptedWhileItRuns() throws QuilldykeException {
+    void bothVersionsAreAcceptedDuringTheRollOut() throws QuilldykeException {
         startRollOut();
 
         Configuration.Model model = mState.configuration().models().get("lm");
@@ -71,7 +71,7 @@
         startRollOut();
         applyNext(0);
 
-        applyNext(RollOut.ORDER_LIMIT_MILLIS + 1);
+        applyNext(RollOutPlanner.ORDER_TIMEOUT_MILLIS + 1);
 
         assertThat(plan().state()).isEqualTo(Plan.State.FAILED);
         assertThat(plan().note()).contains("has not loaded w2");
@@ -89,7 +89,7 @@
         if (plan().state() != Plan.State.RUNNING) {
             return;
         }
-        for (Command command : RollOut.next(plan(), live(), now)) {
+        for (Command command : RollOutPlanner.nextCommands(plan(), liveTargets(), now)) {
             apply(command);
         }
     }
@@ -97,8 +97,8 @@
     private void finishOneLoad() {
         for (Plan.Order order : plan().orders().values()) {
             int engine = order.target().charAt(1) - '0';
-            if (!order.done() && mLoaded[engine].equals("w1")) {
-                mLoaded[engine] = order.weights();
+            if (!order.done() && mLoadedWeights[engine].equals("w1")) {
+                mLoadedWeights[engine] = order.weights();
                 return;
             }
         }
@@ -108,9 +108,9 @@
         return mState.plan("w2");
     }
 
-    private List<TargetRecord> live() {
+    private List<TargetRecord> liveTargets() {
         List<TargetRecord> live = new ArrayList<>();
-        for (int i = 0; i < mLoaded.length; i++) {
+        for (int i = 0; i < mLoadedWeights.length; i++) {
             live.add(
                     new TargetRecord(
                             "e" + i,
@@ -122,7 +122,7 @@
                             1,
                             1,
                             "lm",
-                            mLoaded[i],
+                            mLoadedWeights[i],
                             8,
                             100,
                             true,
--- a/quilldyke-core/src/test/java/org/quilldyke/control/SlowDiskElectionTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/control/SlowDiskElectionTest.java
@@ -33,40 +33,40 @@
 class SlowDiskElectionTest {
     private static final List<String> IDS = List.of("a", "b", "c");
     private static final int SYNC_MILLIS = 450;
-    private static final int SETTLED_BY_MILLIS = 20_000;
+    private static final int AGREED_BY_MILLIS = 20_000;
     private static final int END_MILLIS = 40_000;
     private static final int SEEDS = 300;
 
     private final Map<String, Node> mNodes = new HashMap<>();
-    private List<Mail> mMail = new ArrayList<>();
+    private List<Delivery> mDeliveries = new ArrayList<>();
 
     @Test
-    void leaderThatAllFollowIsNotUnseated() throws Exception {
-        int gaveWay = 0;
+    void leaderFollowedByAllIsNotReplaced() throws Exception {
+        int replacedFirstLeaders = 0;
         for (int seed = 1; seed <= SEEDS; seed++) {
             mNodes.clear();
-            mMail.clear();
+            mDeliveries.clear();
             for (String id : IDS) {
                 mNodes.put(id, new Node(id, seed * 31L + id.hashCode()));
             }
-            String settled = "";
-            String first = "";
+            String agreedLeader = "";
+            String firstLeader = "";
             for (long now = 1; now <= END_MILLIS; now++) {
                 step(now);
-                first = first.isEmpty() ? anyLeader() : first;
-                settled = settled.isEmpty() ? leaderOfAll() : settled;
-                if (!settled.isEmpty()) {
+                firstLeader = firstLeader.isEmpty() ? anyLeader() : firstLeader;
+                agreedLeader = agreedLeader.isEmpty() ? commonLeader() : agreedLeader;
+                if (!agreedLeader.isEmpty()) {
                     assertWithMessage("seed " + seed + " at " + now)
-                            .that(mNodes.get(settled).mReplica.isLeader())
+                            .that(mNodes.get(agreedLeader).mReplica.isLeader())
                             .isTrue();
                 }
-                boolean due = now < SETTLED_BY_MILLIS || !settled.isEmpty();
-                assertWithMessage("seed " + seed).that(due).isTrue();
+                boolean inTime = now < AGREED_BY_MILLIS || !agreedLeader.isEmpty();
+                assertWithMessage("seed " + seed).that(inTime).isTrue();
             }
-            gaveWay += settled.equals(first) ? 0 : 1;
+            replacedFirstLeaders += agreedLeader.equals(firstLeader) ? 0 : 1;
         }
         // A first leader gives way to an election that began before it won: allowed, and seen.
-        assertThat(gaveWay).isGreaterThan(0);
+        assertThat(replacedFirstLeaders).isGreaterThan(0);
     }
 
     private String anyLeader() {
@@ -78,28 +78,28 @@
     }
 
     private void step(long now) throws Exception {
-        List<Mail> due = mMail;
-        mMail = new ArrayList<>();
-        for (Mail mail : due) {
-            Node to = mNodes.get(mail.to());
-            to.carryOut(to.mReplica.receive(mail.from(), mail.message(), now), now);
+        List<Delivery> due = mDeliveries;
+        mDeliveries = new ArrayList<>();
+        for (Delivery delivery : due) {
+            Node to = mNodes.get(delivery.to());
+            to.perform(to.mReplica.receive(delivery.from(), delivery.message(), now), now);
         }
         for (Node node : mNodes.values()) {
-            node.finishWrites(now);
-            node.carryOut(node.mReplica.tick(now), now);
+            node.completeWrites(now);
+            node.perform(node.mReplica.tick(now), now);
         }
     }
 
     /** Returns the leader that each replica knows, empty if they don't agree. */
-    private String leaderOfAll() {
+    private String commonLeader() {
         String leader = mNodes.get(IDS.get(0)).mReplica.leader();
         boolean agreed = mNodes.values().stream().allMatch(n -> n.mReplica.leader().equals(leader));
         return agreed ? leader : "";
     }
 
-    private record Mail(String from, String to, PeerMessage message) {}
+    private record Delivery(String from, String to, PeerMessage message) {}
 
-    private record Write(long doneAt, Ballot ballot, long index, long epoch, List<Mail> held) {}
+    private record Write(long doneAt, Ballot ballot, long index, long epoch, List<Delivery> heldDeliveries) {}
 
     /** A replica whose writes end one after the other, as those of a disk do. */
     private final class Node {
@@ -123,18 +123,18 @@
             assertThat(settings.electionMillis()).isLessThan((long) SYNC_MILLIS);
         }
 
-        void finishWrites(long now) throws Exception {
+        void completeWrites(long now) throws Exception {
             while (!mWrites.isEmpty() && mWrites.get(0).doneAt() <= now) {
                 Write write = mWrites.remove(0);
                 if (write.ballot() != null) {
                     mReplica.onBallotStored(write.ballot(), now);
                 }
-                mMail.addAll(write.held());
-                carryOut(mReplica.onSynced(write.index(), write.epoch()), now);
+                mDeliveries.addAll(write.heldDeliveries());
+                perform(mReplica.onSynced(write.index(), write.epoch()), now);
             }
         }
 
-        void carryOut(List<ReplicaAction> actions, long now) {
+        void perform(List<ReplicaAction> actions, long now) {
             Ballot ballot = null;
             boolean writes = false;
             for (ReplicaAction action : actions) {
@@ -145,31 +145,31 @@
                 }
             }
             if (writes) {
-                long begun = mWrites.isEmpty() ? now : mWrites.get(mWrites.size() - 1).doneAt();
+                long startAt = mWrites.isEmpty() ? now : mWrites.get(mWrites.size() - 1).doneAt();
                 mWrites.add(
                         new Write(
-                                begun + SYNC_MILLIS,
+                                startAt + SYNC_MILLIS,
                                 ballot,
                                 mReplica.lastIndex(),
-                                mReplica.storeEpoch(),
+                                mReplica.truncationEpoch(),
                                 new ArrayList<>()));
             }
             for (ReplicaAction action : actions) {
                 if (action instanceof ReplicaAction.Send send) {
-                    Mail mail = new Mail(mId, send.to(), send.message());
-                    lastBallot(send).add(mail);
+                    Delivery delivery = new Delivery(mId, send.to(), send.message());
+                    queueFor(send).add(delivery);
                 }
             }
         }
 
         /** Returns where a message goes: to the others, or behind a vote that is to be stored. */
-        private List<Mail> lastBallot(ReplicaAction.Send send) {
-            for (int i = mWrites.size() - 1; send.needsBallot() && i >= 0; i--) {
+        private List<Delivery> queueFor(ReplicaAction.Send send) {
+            for (int i = mWrites.size() - 1; send.needsStoredBallot() && i >= 0; i--) {
                 if (mWrites.get(i).ballot() != null) {
-                    return mWrites.get(i).held();
+                    return mWrites.get(i).heldDeliveries();
                 }
             }
-            return mMail;
+            return mDeliveries;
         }
     }
 }
--- a/quilldyke-core/src/test/java/org/quilldyke/control/StartUpPromiseTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/control/StartUpVoteDelayTest.java
@@ -29,7 +29,7 @@
  * After a loss of all processes a leader was won 0.41 s after its peers had met: each replica
  * waited a whole election timeout from its first moment, for a lease that it might have granted.
  */
-class StartUpPromiseTest {
+class StartUpVoteDelayTest {
     private static final long STARTED_AT = 1000;
     private static final List<String> IDS = List.of("a", "b", "c");
     private static final DurableState DISK =
@@ -39,29 +39,29 @@
                     0,
                     new byte[0],
                     Membership.empty(),
-                    List.of(LogEntry.opening(1)));
+                    List.of(LogEntry.noOp(1)));
 
     @Test
-    void noVoteWhileALeaseMayStillRun() throws Exception {
+    void noVoteWhileALeaseMayBeHeld() throws Exception {
         Replica replica = replica("a", 1, STARTED_AT + 300);
-        assertThat(isGranted(replica, STARTED_AT + 349)).isFalse();
-        assertThat(isGranted(replica, STARTED_AT + 366)).isFalse();
-        assertThat(isGranted(replica, STARTED_AT + 367)).isTrue();
+        assertThat(grantsPreVote(replica, STARTED_AT + 349)).isFalse();
+        assertThat(grantsPreVote(replica, STARTED_AT + 366)).isFalse();
+        assertThat(grantsPreVote(replica, STARTED_AT + 367)).isTrue();
     }
 
     @Test
-    void leaderHeardSinceTheStartIsKeptForAWholeTimeout() throws Exception {
+    void noVoteForAFullTimeoutAfterLeaderContact() throws Exception {
         Replica replica = replica("a", 1, STARTED_AT + 300);
         replica.receive(
                 "b", new PeerMessage.AppendRequest(1, 1, 1, List.of(), 0, 1, 0), STARTED_AT + 310);
-        assertThat(isGranted(replica, STARTED_AT + 310 + 449)).isFalse();
-        assertThat(isGranted(replica, STARTED_AT + 310 + 450)).isTrue();
+        assertThat(grantsPreVote(replica, STARTED_AT + 310 + 449)).isFalse();
+        assertThat(grantsPreVote(replica, STARTED_AT + 310 + 450)).isTrue();
     }
 
     @Test
-    void replicasThatMeetAfterTheirPromisesElectALeaderSoon() throws Exception {
+    void leaderIsElectedSoonAfterTheVoteDelay() throws Exception {
         // 56 to 112 ms until the first of three asks, two rounds of messages; before: 435 ms.
-        assertThat(millisToALeader(String::hashCode)).isAtMost(120);
+        assertThat(millisToElectLeader(String::hashCode)).isAtMost(120);
     }
 
     /**
@@ -69,50 +69,50 @@
      * s.
      */
     @Test
-    void replicasThatAskAtTheSameTimeDoNotSplitTheirVotes() throws Exception {
-        assertThat(millisToALeader(id -> 1)).isAtMost(120);
+    void simultaneousPreVotesDoNotSplitTheVote() throws Exception {
+        assertThat(millisToElectLeader(id -> 1)).isAtMost(120);
     }
 
-    private static long millisToALeader(ToLongFunction<String> seed) throws Exception {
-        long met = STARTED_AT + 400;
+    private static long millisToElectLeader(ToLongFunction<String> seed) throws Exception {
+        long connectedAt = STARTED_AT + 400;
         Map<String, Replica> replicas = new HashMap<>();
         for (String id : IDS) {
-            replicas.put(id, replica(id, seed.applyAsLong(id), met));
+            replicas.put(id, replica(id, seed.applyAsLong(id), connectedAt));
         }
-        long now = met;
-        List<Mail> mail = new ArrayList<>();
-        while (replicas.values().stream().noneMatch(Replica::isLeader) && now < met + 1000) {
+        long now = connectedAt;
+        List<Delivery> deliveries = new ArrayList<>();
+        while (replicas.values().stream().noneMatch(Replica::isLeader) && now < connectedAt + 1000) {
             now++;
-            List<Mail> due = mail;
-            mail = new ArrayList<>();
-            for (Mail m : due) {
+            List<Delivery> due = deliveries;
+            deliveries = new ArrayList<>();
+            for (Delivery m : due) {
                 Replica to = replicas.get(m.to());
-                mail.addAll(carryOut(m.to(), to, to.receive(m.from(), m.message(), now), now));
+                deliveries.addAll(perform(m.to(), to, to.receive(m.from(), m.message(), now), now));
             }
             for (String id : IDS) {
                 Replica replica = replicas.get(id);
-                mail.addAll(carryOut(id, replica, replica.tick(now), now));
+                deliveries.addAll(perform(id, replica, replica.tick(now), now));
             }
         }
-        return now - met;
+        return now - connectedAt;
     }
 
-    private static List<Mail> carryOut(
+    private static List<Delivery> perform(
             String id, Replica replica, List<ReplicaAction> actions, long now) {
-        List<Mail> mail = new ArrayList<>();
+        List<Delivery> deliveries = new ArrayList<>();
         for (ReplicaAction action : actions) {
             if (action instanceof ReplicaAction.Send send) {
-                mail.add(new Mail(id, send.to(), send.message()));
+                deliveries.add(new Delivery(id, send.to(), send.message()));
             } else if (action instanceof ReplicaAction.SaveBallot save) {
                 replica.onBallotStored(save.ballot(), now);
             }
         }
-        return mail;
+        return deliveries;
     }
 
-    private static boolean isGranted(Replica replica, long now) throws Exception {
-        PeerMessage ask = new PeerMessage.VoteRequest(5, 9, 4, true, false);
-        return replica.receive("c", ask, now).stream()
+    private static boolean grantsPreVote(Replica replica, long now) throws Exception {
+        PeerMessage request = new PeerMessage.VoteRequest(5, 9, 4, true, false);
+        return replica.receive("c", request, now).stream()
                 .filter(action -> action instanceof ReplicaAction.Send)
                 .map(action -> ((ReplicaAction.Send) action).message())
                 .anyMatch(m -> m instanceof PeerMessage.VoteReply reply && reply.granted());
@@ -124,5 +124,5 @@
         return Replica.restore(settings, DISK, new SplittableRandom(seed), STARTED_AT, now);
     }
 
-    private record Mail(String from, String to, PeerMessage message) {}
+    private record Delivery(String from, String to, PeerMessage message) {}
 }
--- a/quilldyke-core/src/test/java/org/quilldyke/control/DeadStandbyTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/control/UnresponsiveStandbyTest.java
@@ -31,22 +31,22 @@
  * there is, and the time since then overflowed into the past of that limit. The evidence: the new
  * leader lost its lead in the moment of the promotion, and nobody led after it.
  */
-class DeadStandbyTest {
+class UnresponsiveStandbyTest {
     private static final int SEEDS = 20;
-    private static final int TOLERATED = 1;
-    private static final int PLAYED_MILLIS = 8000;
+    private static final int TOLERATED_LOSSES = 1;
+    private static final int RUN_MILLIS = 8000;
     private static final Membership THREE = Membership.ofIds(List.of("gone", "b", "c"));
     private static final Membership FIVE =
             THREE.withStandby(new Membership.Member("dead", "dead"))
                     .withStandby(new Membership.Member("live", "live"));
 
-    private final ReplicaMesh mMesh = new ReplicaMesh();
+    private final ReplicaCluster mCluster = new ReplicaCluster();
 
     @Test
-    void deadStandbyIsNotPromotedInALostVotersPlace() throws Exception {
+    void unresponsiveStandbyDoesNotReplaceAFailedVoter() throws Exception {
         for (int seed = 1; seed <= SEEDS; seed++) {
-            play(seed);
-            Replica leader = mMesh.leaderWithItsTermCommitted();
+            runCluster(seed);
+            Replica leader = mCluster.leaderWithCommittedTerm();
             assertWithMessage("leader, seed " + seed).that(leader).isNotNull();
             assertThat(leader.membership().isVoter("live")).isTrue();
             assertThat(leader.membership().isVoter("dead")).isFalse();
@@ -54,24 +54,24 @@
         }
     }
 
-    private void play(int seed) throws Exception {
-        mMesh.clear();
-        List<LogEntry> log = List.of(LogEntry.opening(1), LogEntry.ofMembership(2, FIVE));
+    private void runCluster(int seed) throws Exception {
+        mCluster.clear();
+        List<LogEntry> log = List.of(LogEntry.noOp(1), LogEntry.ofMembership(2, FIVE));
         for (String id : List.of("b", "c", "live")) {
-            mMesh.add(ReplicaSettings.of(id, THREE), log, seed);
+            mCluster.add(ReplicaSettings.of(id, THREE), log, seed);
         }
-        MembershipPlanner planner = MembershipPlanner.create(TOLERATED);
-        Replica led = null;
+        MembershipPlanner planner = MembershipPlanner.create(TOLERATED_LOSSES);
+        Replica previousLeader = null;
         long leaderSince = 0;
-        for (long now = 1; now < PLAYED_MILLIS; now++) {
-            mMesh.step(now);
-            Replica leader = mMesh.leaderWithItsTermCommitted();
-            leaderSince = leader == led ? leaderSince : now;
-            led = leader;
+        for (long now = 1; now < RUN_MILLIS; now++) {
+            mCluster.step(now);
+            Replica leader = mCluster.leaderWithCommittedTerm();
+            leaderSince = leader == previousLeader ? leaderSince : now;
+            previousLeader = leader;
             if (leader != null) {
-                Optional<Membership> next = planner.next(leader, leader.leader(), leaderSince, now);
+                Optional<Membership> next = planner.nextMembership(leader, leader.leader(), leaderSince, now);
                 if (next.isPresent()) {
-                    mMesh.propose(leader, next.get(), now);
+                    mCluster.propose(leader, next.get(), now);
                 }
             }
         }
--- a/quilldyke-daemon/src/main/java/org/quilldyke/daemon/caller/RunRelay.java
+++ b/quilldyke-daemon/src/main/java/org/quilldyke/daemon/caller/RunRelay.java
@@ -204,7 +204,7 @@
 
     /** Returns what became of the request so far, over all attempts. */
     Outcome outcome() {
-        return mOutcome.and(mAttempt.outcome());
+        return mOutcome.combinedWith(mAttempt.outcome());
     }
 
     private Promise<Void> startAttempt() {
--- a/quilldyke-daemon/src/main/java/org/quilldyke/daemon/control/DataFolder.java
+++ b/quilldyke-daemon/src/main/java/org/quilldyke/daemon/control/DataFolder.java
@@ -73,7 +73,7 @@
     public DurableState load() throws QuilldykeException {
         try {
             byte[] ballotBytes = readChecked(BALLOT);
-            Ballot ballot = ballotBytes == null ? Ballot.blank() : ReplicaJson.ballot(ballotBytes);
+            Ballot ballot = ballotBytes == null ? Ballot.empty() : ReplicaJson.ballot(ballotBytes);
             ByteBuffer snapshot = ByteBuffer.allocate(SNAPSHOT_HEADER);
             byte[] snapshotBytes = readChecked(SNAPSHOT);
             if (snapshotBytes != null) {
@@ -142,7 +142,7 @@
     public void saveSnapshot(Compaction compaction) throws QuilldykeException {
         try {
             byte[] members = ReplicaJson.encode(compaction.membership());
-            byte[] state = compaction.state();
+            byte[] state = compaction.snapshot();
             ByteBuffer content =
                     ByteBuffer.allocate(SNAPSHOT_HEADER + members.length + state.length);
             content.putLong(compaction.index()).putLong(compaction.term());
@@ -151,7 +151,7 @@
             Path next = mFolder.resolve(LOG + ".tmp");
             Files.deleteIfExists(next);
             LogFile file = LogFile.open(next, compaction.index());
-            file.append(compaction.index() + 1, compaction.keep());
+            file.append(compaction.index() + 1, compaction.remainingEntries());
             file.sync();
             Files.move(next, mFolder.resolve(LOG), StandardCopyOption.ATOMIC_MOVE);
             syncFolder();
--- a/quilldyke-daemon/src/main/java/org/quilldyke/daemon/control/PlanExecutor.java
+++ b/quilldyke-daemon/src/main/java/org/quilldyke/daemon/control/PlanExecutor.java
@@ -24,7 +24,7 @@
 import java.util.function.LongSupplier;
 import org.quilldyke.control.Command;
 import org.quilldyke.control.Plan;
-import org.quilldyke.control.RollOut;
+import org.quilldyke.control.RollOutPlanner;
 import org.quilldyke.daemon.engine.EngineClient;
 import org.quilldyke.daemon.json.Json;
 import org.quilldyke.daemon.log.Event;
@@ -82,7 +82,7 @@
             if (plan.state() != Plan.State.RUNNING) {
                 continue;
             }
-            RollOut.next(plan, live, mWallClock.getAsLong()).forEach(this::propose);
+            RollOutPlanner.nextCommands(plan, live, mWallClock.getAsLong()).forEach(this::propose);
             for (Plan.Order order : plan.orders().values()) {
                 if (!order.done()) {
                     sendIfDue(plan, order, live);
--- a/quilldyke-daemon/src/main/java/org/quilldyke/daemon/control/ReplicaNode.java
+++ b/quilldyke-daemon/src/main/java/org/quilldyke/daemon/control/ReplicaNode.java
@@ -301,7 +301,7 @@
                 apply(apply.index(), apply.entry());
                 mAppliedIndex = apply.index();
             } else if (action instanceof ReplicaAction.InstallSnapshot install) {
-                restore(install.state());
+                restore(install.snapshot());
                 mAppliedIndex = install.index();
             } else if (action instanceof ReplicaAction.LeadershipWon won) {
                 mWonAt = now();
@@ -316,7 +316,7 @@
     }
 
     private void send(ReplicaAction.Send send) {
-        if (send.needsBallot() && mLastBallotJob != null) {
+        if (send.needsStoredBallot() && mLastBallotJob != null) {
             mLastBallotJob.heldBack().add(send);
         } else {
             mSend.accept(send.to(), send.message());
@@ -349,7 +349,7 @@
             return;
         }
         DiskJob job =
-                new DiskJob(ballot, mReplica.lastIndex(), mReplica.storeEpoch(), new ArrayList<>());
+                new DiskJob(ballot, mReplica.lastIndex(), mReplica.truncationEpoch(), new ArrayList<>());
         if (ballot != null) {
             mLastBallotJob = job;
         }
@@ -379,7 +379,7 @@
                 toSync = true;
             } else if (action instanceof ReplicaAction.InstallSnapshot i) {
                 mStorage.saveSnapshot(
-                        new Compaction(i.index(), i.term(), i.membership(), i.state(), List.of()));
+                        new Compaction(i.index(), i.term(), i.membership(), i.snapshot(), List.of()));
             }
         }
         if (toSync) {
@@ -416,7 +416,7 @@
         if (entry.membership() != null) {
             mListener.onMembership(entry.membership());
         }
-        if (entry.isOpening()) {
+        if (entry.hasNoCommand()) {
             fail(pending);
             return;
         }
@@ -457,7 +457,7 @@
         }
         Compaction compaction = mReplica.compact(mMachine.snapshot());
         mBytesSinceSnapshot = 0;
-        countBytes(compaction.keep());
+        countBytes(compaction.remainingEntries());
         mEnvironment
                 .log()
                 .write(
@@ -465,7 +465,7 @@
                         "index",
                         compaction.index(),
                         "bytes",
-                        compaction.state().length);
+                        compaction.snapshot().length);
         mDisk.submit(() -> mStorage.saveSnapshot(compaction), () -> {});
     }
 
@@ -529,7 +529,7 @@
      *
      * @param ballot the newest ballot that it stores, or null
      * @param index the end of the log when it was handed over
-     * @param epoch {@link Replica#storeEpoch} at that time
+     * @param epoch {@link Replica#truncationEpoch} at that time
      * @param heldBack messages that may not leave before the ballot is stored
      */
     private record DiskJob(
--- a/quilldyke-daemon/src/main/java/org/quilldyke/daemon/instance/Wire.java
+++ b/quilldyke-daemon/src/main/java/org/quilldyke/daemon/instance/Wire.java
@@ -50,7 +50,7 @@
                             .setLastIndex(m.lastIndex())
                             .setLastTerm(m.lastTerm())
                             .setPreVote(m.preVote())
-                            .setTransfer(m.transfer()));
+                            .setTransfer(m.leadershipTransfer()));
         } else if (message instanceof PeerMessage.VoteReply m) {
             out.setVoteReply(
                     VoteReply.newBuilder()
@@ -74,10 +74,10 @@
                             .setIndex(m.index())
                             .setIndexTerm(m.indexTerm())
                             .setOffset(m.offset())
-                            .setTotal(m.total())
+                            .setTotal(m.totalBytes())
                             .setMembershipJson(
                                     ByteString.copyFrom(ReplicaJson.encode(m.membership())))
-                            .setPiece(ByteString.copyFrom(m.piece()))
+                            .setPiece(ByteString.copyFrom(m.chunk()))
                             .setSentAt(m.sentAt()));
         } else if (message instanceof PeerMessage.SnapshotReply m) {
             out.setSnapshotReply(
--- a/quilldyke-daemon/src/main/java/org/quilldyke/daemon/operator/OperatorServlet.java
+++ b/quilldyke-daemon/src/main/java/org/quilldyke/daemon/operator/OperatorServlet.java
@@ -185,7 +185,7 @@
                     .put("term", mCell.replica().replica().term())
                     .put("committed", mCell.replica().replica().commitIndex())
                     .put("trusted", mCell.replica().replica().isTrusted())
-                    .put("claims", mCell.replica().state().claims());
+                    .put("claims", mCell.replica().state().claimCount());
             body.set("openPlans", Json.treeOf(mCell.replica().state().openPlans()));
         }
         body.put("targets", view.targets().size());
--- a/quilldyke-daemon/src/main/java/org/quilldyke/daemon/service/ServiceRelay.java
+++ b/quilldyke-daemon/src/main/java/org/quilldyke/daemon/service/ServiceRelay.java
@@ -221,7 +221,7 @@
                 e instanceof EngineClient.AttemptException failure
                         ? failure.state()
                         : AttemptState.SENDING;
-        Outcome outcome = before.and(state.outcome());
+        Outcome outcome = before.combinedWith(state.outcome());
         mContext.log()
                 .write(
                         Event.ATTEMPT_FAILED,
--- a/quilldyke-daemon/src/test/java/org/quilldyke/daemon/control/DataFolderPowerLossTest.java
+++ b/quilldyke-daemon/src/test/java/org/quilldyke/daemon/control/DataFolderPowerLossTest.java
@@ -178,8 +178,8 @@
         private long mBase;
         private long mMaySnapshot;
         private long mTerm;
-        private Ballot mBallot = Ballot.blank();
-        private Ballot mMayBallot = Ballot.blank();
+        private Ballot mBallot = Ballot.empty();
+        private Ballot mMayBallot = Ballot.empty();
 
         Run(long seed) {
             mRandom = new Random(seed);
--- a/quilldyke-daemon/src/test/java/org/quilldyke/daemon/control/DataFolderTest.java
+++ b/quilldyke-daemon/src/test/java/org/quilldyke/daemon/control/DataFolderTest.java
@@ -47,7 +47,7 @@
         try (DataFolder folder = DataFolder.open(mFolder)) {
             DurableState state = folder.load();
 
-            assertThat(state.ballot()).isEqualTo(Ballot.blank());
+            assertThat(state.ballot()).isEqualTo(Ballot.empty());
             assertThat(state.entries()).isEmpty();
         }
     }
@@ -148,7 +148,7 @@
             assertThat(folder.loadIdentity()).isEqualTo(new byte[] {7, 1});
             LogEntry entry = folder.load().entries().get(0);
             assertThat(entry.membership()).isEqualTo(MEMBERS);
-            assertThat(entry.isOpening()).isTrue();
+            assertThat(entry.hasNoCommand()).isTrue();
         }
     }
 
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/MembershipKeeper.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/MembershipKeeper.java
@@ -48,7 +48,7 @@
     /** Takes the wish of another replica to be a member. */
     void onJoin(Join join) {
         if (mGroup.leads()) {
-            mPlanner.onJoin(new Membership.Member(join.getId(), join.getAddress()));
+            mPlanner.onJoinRequest(new Membership.Member(join.getId(), join.getAddress()));
         }
     }
 
@@ -61,7 +61,7 @@
         mPeers.forgetUnnamed();
         long now = mClock.getAsLong();
         if (mGroup.leads()) {
-            mPlanner.next(replica, mGroup.selfId(), mGroup.node().leaderSince(), now)
+            mPlanner.nextMembership(replica, mGroup.selfId(), mGroup.node().leaderSince(), now)
                     .ifPresent(next -> mGroup.node().proposeMembership(next));
         } else if (replica.leader().isEmpty() && now - mJoinedAt > JOIN_MILLIS) {
             mJoinedAt = now;
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/LossMachine.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/LossMachine.java
@@ -163,7 +163,7 @@
 
     /** Takes the wish of a replica to be a member. */
     void onJoin(Membership.Member joiner) {
-        mPlanner.onJoin(joiner);
+        mPlanner.onJoinRequest(joiner);
     }
 
     /** Lets a millisecond pass. */
@@ -291,7 +291,7 @@
     private ReplicaSettings replicaSettings(ReplicaIdentity.Opened opened) {
         ReplicaSettings settings = ControlNode.settingsOf(opened.identity(), mTolerated);
         return mManySnapshots
-                ? settings.withSizes(SMALL_MESSAGE_BYTES, SMALL_MESSAGE_BYTES)
+                ? settings.withMessageSizes(SMALL_MESSAGE_BYTES, SMALL_MESSAGE_BYTES)
                 : settings;
     }
 
@@ -321,7 +321,7 @@
         mLoop.schedule(KEEPER_MILLIS, this::keepMembership);
         if (mNode.isLeader()) {
             Optional<Membership> next =
-                    mPlanner.next(mNode.replica(), mId, mNode.leaderSince(), clock());
+                    mPlanner.nextMembership(mNode.replica(), mId, mNode.leaderSince(), clock());
             if (next.isPresent() && mNode.proposeMembership(next.get())) {
                 mReport.count("membership proposed");
             }
--- a/quilldyke-testkit/src/main/java/org/quilldyke/testkit/check/ClusterRun.java
+++ b/quilldyke-testkit/src/main/java/org/quilldyke/testkit/check/ClusterRun.java
@@ -88,7 +88,7 @@
         Membership initial =
                 machine < first ? Membership.ofIds(ids.subList(0, first)) : Membership.empty();
         mCommitted = machine < first ? initial : mCommitted;
-        return ReplicaSettings.of(id, initial).withSizes(2048, 64);
+        return ReplicaSettings.of(id, initial).withMessageSizes(2048, 64);
     }
 
     /**
@@ -198,14 +198,14 @@
             mCommittedAt = index;
         }
         mHighestApplied = Math.max(mHighestApplied, index);
-        if (!entry.isOpening()) {
+        if (!entry.hasNoCommand()) {
             mModel.onApply(replica.mId, index, ByteBuffer.wrap(entry.payload()).getLong());
         }
     }
 
     void onInstall(FakeReplica replica, ReplicaAction.InstallSnapshot install) {
         mReport.count("snapshot installed");
-        mModel.onStarted(replica.mId, install.index(), install.state());
+        mModel.onStarted(replica.mId, install.index(), install.snapshot());
     }
 
     byte[] snapshotOf(FakeReplica replica) {
@@ -218,7 +218,7 @@
         replica.crash(wipe);
         if (wipe && mDynamic) {
             String id = "r" + replica.mMachine + "." + ++mRenamed;
-            replica.rename(ReplicaSettings.of(id, Membership.empty()).withSizes(2048, 64));
+            replica.rename(ReplicaSettings.of(id, Membership.empty()).withMessageSizes(2048, 64));
         }
         mDownUntil.put(replica.mId, mNow + 20 + mRandom.nextInt(1200));
     }
@@ -319,7 +319,7 @@
             if (canAct(joiner) && joiner.replica().leader().isEmpty()) {
                 mReplicas.stream()
                         .filter(leader -> canAct(leader) && leader.replica().isLeader())
-                        .forEach(leader -> leader.planner().onJoin(memberOf(joiner)));
+                        .forEach(leader -> leader.planner().onJoinRequest(memberOf(joiner)));
             }
         }
     }
--- a/quilldyke-testkit/src/main/java/org/quilldyke/testkit/check/FakeDisk.java
+++ b/quilldyke-testkit/src/main/java/org/quilldyke/testkit/check/FakeDisk.java
@@ -28,7 +28,7 @@
 /** A replica's disk: what was synced survives a crash, of the rest a part may. */
 final class FakeDisk {
     private final List<ReplicaAction> mUnsynced = new ArrayList<>();
-    private Ballot mBallot = Ballot.blank();
+    private Ballot mBallot = Ballot.empty();
     private long mSnapshotIndex;
     private long mSnapshotTerm;
     private byte[] mSnapshot = new byte[0];
@@ -55,7 +55,7 @@
 
     void wipe() {
         mUnsynced.clear();
-        mBallot = Ballot.blank();
+        mBallot = Ballot.empty();
         mSnapshotIndex = 0;
         mSnapshotTerm = 0;
         mSnapshot = new byte[0];
@@ -64,10 +64,10 @@
     }
 
     void saveSnapshot(Compaction compaction) {
-        mEntries = new ArrayList<>(compaction.keep());
+        mEntries = new ArrayList<>(compaction.remainingEntries());
         mSnapshotIndex = compaction.index();
         mSnapshotTerm = compaction.term();
-        mSnapshot = compaction.state();
+        mSnapshot = compaction.snapshot();
         mMembership = compaction.membership();
     }
 
@@ -115,7 +115,7 @@
         } else if (action instanceof ReplicaAction.InstallSnapshot install) {
             mSnapshotIndex = install.index();
             mSnapshotTerm = install.term();
-            mSnapshot = install.state();
+            mSnapshot = install.snapshot();
             mMembership = install.membership();
             mEntries = new ArrayList<>();
         }
--- a/quilldyke-testkit/src/main/java/org/quilldyke/testkit/check/FakeReplica.java
+++ b/quilldyke-testkit/src/main/java/org/quilldyke/testkit/check/FakeReplica.java
@@ -140,7 +140,7 @@
 
     /** Has the leader propose a change of membership, if one is due. */
     private void changeMembership(long now) throws QuilldykeException {
-        Optional<Membership> next = mPlanner.next(mReplica, mId, mLeaderSince, clock(now));
+        Optional<Membership> next = mPlanner.nextMembership(mReplica, mId, mLeaderSince, clock(now));
         if (next.isPresent() && mReplica.proposeMembership(next.get()) >= 0) {
             mActions.addAll(mReplica.flush(clock(now)));
             drain(now);
@@ -202,15 +202,15 @@
                             batch.stream().filter(FakeReplica::isStored).toList(),
                             new ArrayList<>(),
                             mReplica.lastIndex(),
-                            mReplica.storeEpoch()));
+                            mReplica.truncationEpoch()));
         }
         boolean early = mRun.isBroken(Breaks.SEND_BEFORE_SYNC);
         if (early && stores) {
-            mActions.addAll(mReplica.onSynced(mReplica.lastIndex(), mReplica.storeEpoch()));
+            mActions.addAll(mReplica.onSynced(mReplica.lastIndex(), mReplica.truncationEpoch()));
         }
         for (ReplicaAction action : batch) {
             if (action instanceof ReplicaAction.Send send) {
-                if (early || !send.needsBallot() || mJobs.isEmpty()) {
+                if (early || !send.needsStoredBallot() || mJobs.isEmpty()) {
                     mRun.onSend(this, send, now);
                 } else {
                     mJobs.peekLast().after().add(send);
@@ -311,7 +311,7 @@
      * @param writes what is written
      * @param after what is sent when it has finished
      * @param index the end of the log when the write was handed over
-     * @param epoch {@link Replica#storeEpoch} at that time
+     * @param epoch {@link Replica#truncationEpoch} at that time
      */
     private record DiskJob(
             long due,
--- a/quilldyke-tools/src/main/java/org/quilldyke/tools/bench/SlopesBench.java
+++ b/quilldyke-tools/src/main/java/org/quilldyke/tools/bench/SlopesBench.java
@@ -347,7 +347,7 @@
         long startedAt = System.nanoTime();
         claim(state, claims);
         long nanos = System.nanoTime() - startedAt;
-        mSink += state.claims();
+        mSink += state.claimCount();
         return nanos;
     }
 
