--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/CrashTelling.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/CrashTelling.java
@@ -28,7 +28,7 @@
 import org.quilldyke.daemon.log.Event;
 import org.quilldyke.daemon.log.EventLog;
 import org.quilldyke.gateway.caller.CrashListener;
-import org.quilldyke.gateway.caller.Entry;
+import org.quilldyke.gateway.caller.EntryContext;
 import org.quilldyke.gateway.instance.CrashFrames;
 import org.quilldyke.gateway.instance.proto.CrashNews;
 import org.quilldyke.gateway.instance.proto.EntryFrame;
@@ -40,7 +40,7 @@
 final class CrashTelling implements CrashListener {
     private static final int MAX_CRASHES = 64;
 
-    private final Entry mEntry;
+    private final EntryContext mEntry;
     private final Executor mControl;
     private final LongSupplier mClock;
     private final EventLog mLog;
@@ -56,7 +56,7 @@
      *
      * @param control the control thread
      */
-    CrashTelling(Entry entry, Executor control, LongSupplier clock, EventLog log) {
+    CrashTelling(EntryContext entry, Executor control, LongSupplier clock, EventLog log) {
         mEntry = entry;
         mControl = control;
         mClock = clock;
@@ -88,7 +88,7 @@
     }
 
     @Override
-    public void onCompleted(RequestFingerprint request, long at) {
+    public void onSuspectCompleted(RequestFingerprint request, long at) {
         mControl.execute(
                 () -> {
                     long now = mClock.getAsLong();
@@ -124,7 +124,7 @@
     private void onSuspect(Suspect suspect) {
         OptionalLong completedAt = mEntry.suspects().onSuspect(suspect);
         if (completedAt.isPresent()) {
-            onCompleted(suspect.request(), completedAt.getAsLong());
+            onSuspectCompleted(suspect.request(), completedAt.getAsLong());
         }
     }
 
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/EntrySubscriber.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/EntrySubscriber.java
@@ -24,9 +24,9 @@
 import org.quilldyke.daemon.log.EventLog;
 import org.quilldyke.engine.TargetRegistry;
 import org.quilldyke.engine.TargetReport;
-import org.quilldyke.gateway.caller.Entry;
+import org.quilldyke.gateway.caller.EntryContext;
 import org.quilldyke.gateway.dialect.ControlDialect;
-import org.quilldyke.gateway.engine.RefusedNews;
+import org.quilldyke.gateway.engine.RefusalLog;
 import org.quilldyke.gateway.instance.Compression;
 import org.quilldyke.gateway.instance.ControlLinks;
 import org.quilldyke.gateway.instance.LimitFrames;
@@ -57,11 +57,11 @@
     private static final long LOADS_MILLIS = 100;
 
     private final String mInstance;
-    private final Entry mEntry;
+    private final EntryContext mEntry;
     private final ControlDialect mDialect;
     private final LongSupplier mClock;
     private final EventLog mLog;
-    private final RefusedNews mRefused;
+    private final RefusalLog mRefused;
     private final CrashTelling mCrashes;
     private final TargetRegistry mRegistry = TargetRegistry.createFollower();
     private volatile List<TargetLoad> mLoads = List.of();
@@ -69,11 +69,11 @@
 
     EntrySubscriber(
             String instance,
-            Entry entry,
+            EntryContext entry,
             ControlDialect dialect,
             LongSupplier clock,
             EventLog log,
-            RefusedNews refused,
+            RefusalLog refused,
             CrashTelling crashes) {
         mInstance = instance;
         mEntry = entry;
@@ -90,7 +90,7 @@
                 .schedule(
                         this::noteLoads, LOADS_MILLIS, java.util.concurrent.TimeUnit.MILLISECONDS);
         List<TargetLoad> loads = new ArrayList<>();
-        for (TargetState target : mEntry.book().targets()) {
+        for (TargetState target : mEntry.targetStates().targets()) {
             if (target.ownRequests() > 0) {
                 loads.add(
                         TargetLoad.newBuilder()
@@ -132,15 +132,15 @@
         mEntry.loop()
                 .execute(
                         () -> {
-                            boolean before = mEntry.isConfirmed();
-                            mEntry.onConfirmed(askedAt, control);
-                            mEntry.retries().onInstanceCount(answer.getEntries());
-                            mEntry.book().onInstanceRank(rank(answer), mEntry.now());
-                            if (!before && mEntry.isConfirmed()) {
+                            boolean before = mEntry.isConfigurationConfirmed();
+                            mEntry.onConfigurationConfirmed(askedAt, control);
+                            mEntry.retryBudget().onInstanceCount(answer.getEntries());
+                            mEntry.targetStates().onInstanceRank(rank(answer), mEntry.now());
+                            if (!before && mEntry.isConfigurationConfirmed()) {
                                 mLog.write(
                                         Event.CONFIRMED,
                                         "age",
-                                        mEntry.keyAge(),
+                                        mEntry.confirmationAgeMillis(),
                                         "control",
                                         control);
                             }
@@ -173,11 +173,11 @@
     }
 
     private void takeLoads(List<TargetLoad> loads) {
-        for (TargetState target : mEntry.book().targets()) {
-            mEntry.book().onOtherInstancesLoad(target.id(), 0, 0);
+        for (TargetState target : mEntry.targetStates().targets()) {
+            mEntry.targetStates().onOtherInstancesLoad(target.id(), 0, 0);
         }
         for (TargetLoad load : loads) {
-            mEntry.book().onOtherInstancesLoad(load.getTarget(), load.getRequests(), load.getTokens());
+            mEntry.targetStates().onOtherInstancesLoad(load.getTarget(), load.getRequests(), load.getTokens());
         }
     }
 
@@ -188,7 +188,7 @@
             mEntry.loop()
                     .execute(
                             () ->
-                                    mEntry.book()
+                                    mEntry.targetStates()
                                             .onNamedWeights(
                                                     named.getModel(), named.getVersion(), namedAt));
         }
@@ -229,7 +229,7 @@
                 case LAPSED -> {
                     if (mRegistry.onLapsed(id)) {
                         mLog.write(Event.TARGET_LAPSED, "target", id, "by", control);
-                        mEntry.loop().execute(() -> mEntry.onTargetLost(id, true));
+                        mEntry.loop().execute(() -> mEntry.onTargetRemoved(id, true));
                     }
                 }
                 case SUSPENDED -> {
@@ -254,7 +254,7 @@
     /** A target that has reported itself since the word that it leaves stays. */
     private void onLeft(String id) {
         if (mRegistry.report(id).isEmpty()) {
-            mEntry.loop().execute(() -> mEntry.onTargetLost(id, false));
+            mEntry.loop().execute(() -> mEntry.onTargetRemoved(id, false));
         }
     }
 
@@ -265,14 +265,14 @@
                 .execute(
                         () ->
                                 report.ifPresentOrElse(
-                                        mEntry::onReport, () -> mEntry.onTargetLost(id, false)));
+                                        mEntry::onReport, () -> mEntry.onTargetRemoved(id, false)));
     }
 
     private void onReport(Target target, long heardAt, String control) {
         try {
             onReport(TargetFrames.decode(target), heardAt, control);
         } catch (QuilldykeException e) {
-            mRefused.onRefused(RefusedNews.Source.INSTANCE, target.getId(), e);
+            mRefused.onRefused(RefusalLog.Source.INSTANCE, target.getId(), e);
         }
     }
 
@@ -281,7 +281,7 @@
         for (String id : mRegistry.takeDisplaced()) {
             mLog.write(Event.TARGET_CHANGED, "target", id, "displaced", true);
             // A late report may displace who lives: it stays while it answers.
-            mEntry.loop().execute(() -> mEntry.onTargetLost(id, true));
+            mEntry.loop().execute(() -> mEntry.onTargetRemoved(id, true));
         }
         if (news) {
             mLog.write(
@@ -305,7 +305,7 @@
         }
         if (mRegistry.report(report.id()).isPresent()) {
             long lastHeardAt = mRegistry.lastSeenAt(report.id());
-            mEntry.loop().execute(() -> mEntry.book().onReportOrigin(report.id(), control, lastHeardAt));
+            mEntry.loop().execute(() -> mEntry.targetStates().onReportOrigin(report.id(), control, lastHeardAt));
         }
         // What was open at an earlier incarnation may go on at the one that has just reported.
         endEarlier();
@@ -314,19 +314,19 @@
     private void endEarlier() {
         for (String id : mRegistry.takeSuperseded()) {
             mLog.write(Event.TARGET_CHANGED, "target", id, "ended", true);
-            mEntry.loop().execute(() -> mEntry.onTargetEnded(id));
+            mEntry.loop().execute(() -> mEntry.onTargetRestarted(id));
         }
     }
 
     private void onLimits(Limits limits, String control) {
         List<AdvertisedLimit> told = LimitFrames.decode(limits, mClock.getAsLong());
-        mEntry.loop().execute(() -> told.forEach(limit -> mEntry.onLimitTold(limit, control)));
+        mEntry.loop().execute(() -> told.forEach(limit -> mEntry.onLimitFromControl(limit, control)));
     }
 
     private void onCaches(Caches caches) {
         List<CacheUpdate> decoded =
                 caches.getCachesList().stream().map(EntrySubscriber::decode).toList();
-        mEntry.loop().execute(() -> decoded.forEach(mEntry.book()::onCacheUpdate));
+        mEntry.loop().execute(() -> decoded.forEach(mEntry.targetStates()::onCacheUpdate));
     }
 
     private static CacheUpdate decode(org.quilldyke.gateway.instance.proto.CacheNews news) {
@@ -343,7 +343,7 @@
                 .execute(
                         () -> {
                             if (loading.hasWeights()) {
-                                mEntry.book()
+                                mEntry.targetStates()
                                         .onWeightsReported(
                                                 loading.getTarget(),
                                                 loading.getWeights().getModel(),
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/GatewayProcess.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/GatewayProcess.java
@@ -36,11 +36,11 @@
 import org.quilldyke.daemon.log.Event;
 import org.quilldyke.daemon.log.EventLog;
 import org.quilldyke.gateway.caller.CallerServer;
-import org.quilldyke.gateway.caller.Entry;
+import org.quilldyke.gateway.caller.EntryContext;
 import org.quilldyke.gateway.control.ControlNode;
 import org.quilldyke.gateway.dialect.Dialect;
-import org.quilldyke.gateway.engine.EngineOrders;
-import org.quilldyke.gateway.engine.RefusedNews;
+import org.quilldyke.gateway.engine.EngineClient;
+import org.quilldyke.gateway.engine.RefusalLog;
 import org.quilldyke.gateway.instance.ControlLinks;
 import org.quilldyke.gateway.instance.LimitFrames;
 import org.quilldyke.gateway.instance.NettyLoop;
@@ -100,11 +100,11 @@
     private final LeaseClock mLeaseClock = LeaseClock.create();
     private final long mStartedAt;
     private final GatewayMetrics mMetrics = GatewayMetrics.create();
-    private final RefusedNews mRefused;
+    private final RefusalLog mRefused;
     private final AtomicBoolean mDraining = new AtomicBoolean();
     private final NettyLoop mControl = new NettyLoop(Loops.create("control"));
     private final EventLoop mTraffic = Loops.create("traffic");
-    private Entry mEntry;
+    private EntryContext mEntry;
     private CallerServer mCallers;
     private ControlNode mNode;
     private ControlServer mCalls;
@@ -117,7 +117,7 @@
         mDialect = dialect;
         mStartedAt = startedAt;
         mLog = EventLog.of(settings.instance());
-        mRefused = RefusedNews.create(mMetrics.registry(), mLog, mClock);
+        mRefused = RefusalLog.create(mMetrics.registry(), mLog, mClock);
     }
 
     /** Returns the present time in monotonic milliseconds. */
@@ -223,7 +223,7 @@
             // Not past the end: an instance that outlasts its time is killed with what it tells.
             pause(Math.min(POLL_MILLIS, Math.max(1, end - mClock.getAsLong())));
         } while (onTraffic(mCallers::closeIdle) != 0 && mClock.getAsLong() < end);
-        int cut = onTraffic(mCallers::onInstanceEnds);
+        int cut = onTraffic(mCallers::onShutdownDeadline);
         if (cut != 0) {
             pause(POLL_MILLIS);
         }
@@ -283,8 +283,8 @@
                         UNKNOWN_ENTRIES);
         KeyLease lease = KeyLease.ofMillis(Math.round(timings.revoke() * LEASE_PART));
         mEntry =
-                Entry.of(
-                        new Entry.Parts(
+                EntryContext.of(
+                        new EntryContext.Dependencies(
                                 mTraffic,
                                 mClock,
                                 this::leaseNow,
@@ -299,7 +299,7 @@
         mCallers = CallerServer.start(mSettings.callers(), mEntry);
         ProbeServer.start(mSettings.ready(), mTraffic, this::isReady, mMetrics.registry());
         CrashTelling crashes = new CrashTelling(mEntry, mControl::execute, mClock, mLog);
-        mTraffic.execute(() -> mEntry.listenToCrashes(crashes));
+        mTraffic.execute(() -> mEntry.setCrashListener(crashes));
         EntrySubscriber subscriber =
                 new EntrySubscriber(
                         mSettings.instance(),
@@ -324,7 +324,7 @@
                                     mSettings.seedAddresses(),
                                     subscriber);
                     crashes.tellTo(mLinks::sendToAll);
-                    mTraffic.execute(() -> mEntry.tellLimits(this::tellLimit));
+                    mTraffic.execute(() -> mEntry.setLimitConsumer(this::tellLimit));
                 });
     }
 
@@ -347,9 +347,9 @@
     /** What is read when metrics are asked for, on the traffic thread. */
     private void registerGauges() {
         MetricRegistry registry = mMetrics.registry();
-        registry.register("targets.known", (Gauge<Integer>) () -> mEntry.book().targets().size());
+        registry.register("targets.known", (Gauge<Integer>) () -> mEntry.targetStates().targets().size());
         registry.register("targets.connections", (Gauge<Integer>) mEntry.pool()::connections);
-        registry.register("keys.lease-age.ms", (Gauge<Long>) () -> mEntry.keyAge());
+        registry.register("keys.lease-age.ms", (Gauge<Long>) () -> mEntry.confirmationAgeMillis());
     }
 
     private void startControl() throws QuilldykeException {
@@ -358,7 +358,7 @@
             mLog.write(Event.NO_DISK, "seeds", mSettings.seeds());
             return;
         }
-        EngineOrders orders = EngineOrders.create(mTraffic, mDialect.targets(), mClock, mRefused);
+        EngineClient orders = EngineClient.create(mTraffic, mDialect.targets(), mClock, mRefused);
         mNode = startNode(orders);
         mSessions = SessionServer.start(mSettings.internalAddress(mSettings.ip()), mControl, mNode);
         mCalls =
@@ -373,7 +373,7 @@
     }
 
     /** Starts the node; a disk that can't be written just now may be writable again soon. */
-    private ControlNode startNode(EngineOrders orders) throws QuilldykeException {
+    private ControlNode startNode(EngineClient orders) throws QuilldykeException {
         while (true) {
             try {
                 return tryStartNode(orders);
@@ -387,7 +387,7 @@
         }
     }
 
-    private ControlNode tryStartNode(EngineOrders orders) throws QuilldykeException {
+    private ControlNode tryStartNode(EngineClient orders) throws QuilldykeException {
         CompletableFuture<ControlNode> started = new CompletableFuture<>();
         mControl.execute(
                 () -> {
@@ -411,7 +411,7 @@
 
     /** Called on the traffic thread. */
     private boolean isReady() {
-        return !mDraining.get() && mEntry.isConfirmed();
+        return !mDraining.get() && mEntry.isConfigurationConfirmed();
     }
 
     private static ControlNode await(CompletableFuture<ControlNode> started)
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CallerConnection.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CallerConnection.java
@@ -53,13 +53,13 @@
  */
 final class CallerConnection extends ChannelInboundHandlerAdapter {
     /** How many pieces of later requests wait before no more is read. */
-    private static final int MAX_WAITING = 64;
+    private static final int MAX_QUEUED_MESSAGES = 64;
 
     /** A caller that has just connected sends its request within this time. */
-    private static final long NEW_MILLIS = 500;
+    private static final long FIRST_REQUEST_MILLIS = 500;
 
-    private final Entry mEntry;
-    private final Deque<Object> mWaiting = new ArrayDeque<>();
+    private final EntryContext mEntry;
+    private final Deque<Object> mQueuedMessages = new ArrayDeque<>();
     private ChannelHandlerContext mContext;
     private HttpRequest mHead;
     private ByteBuf mBody;
@@ -70,7 +70,7 @@
     private boolean mClosing;
     private ScheduledFuture<?> mTimer;
 
-    CallerConnection(Entry entry) {
+    CallerConnection(EntryContext entry) {
         mEntry = entry;
     }
 
@@ -85,10 +85,10 @@
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         if (mClosing) {
             ReferenceCountUtil.release(message);
-        } else if (mExchange != null || !mWaiting.isEmpty() || !ctx.channel().isWritable()) {
+        } else if (mExchange != null || !mQueuedMessages.isEmpty() || !ctx.channel().isWritable()) {
             // What waits comes first, also between an answer and the step that reads on.
-            mWaiting.add(message);
-            if (mWaiting.size() >= MAX_WAITING) {
+            mQueuedMessages.add(message);
+            if (mQueuedMessages.size() >= MAX_QUEUED_MESSAGES) {
                 ctx.channel().config().setAutoRead(false);
             }
         } else {
@@ -104,13 +104,13 @@
             mBody.release();
             mBody = null;
         }
-        while (!mWaiting.isEmpty()) {
-            ReferenceCountUtil.release(mWaiting.poll());
+        while (!mQueuedMessages.isEmpty()) {
+            ReferenceCountUtil.release(mQueuedMessages.poll());
         }
         if (mExchange != null) {
             Exchange exchange = mExchange;
             mExchange = null;
-            exchange.onCallerGone();
+            exchange.onCallerDisconnected();
         }
         mEntry.metrics().onCallerClosed();
     }
@@ -120,7 +120,7 @@
         if (mExchange != null) {
             mExchange.onWritable(ctx.channel().isWritable());
         } else {
-            ctx.executor().execute(this::readWaiting);
+            ctx.executor().execute(this::processQueuedMessages);
         }
     }
 
@@ -135,21 +135,21 @@
 
     /** Returns whether a request is answered, read or waits, or an answer hasn't left yet. */
     boolean isBusy() {
-        return mExchange != null || mHead != null || !mWaiting.isEmpty() || isLeaving();
+        return mExchange != null || mHead != null || !mQueuedMessages.isEmpty() || isWritingAnswer();
     }
 
     /** An answer that has ended may still wait here for a caller that reads slowly. */
-    private boolean isLeaving() {
+    private boolean isWritingAnswer() {
         return mLastWrite != null && !mLastWrite.isDone();
     }
 
     /** Ends what is open on the connection: the instance ends. */
-    void onInstanceEnds() {
+    void onShutdownDeadline() {
         if (mExchange != null) {
-            mExchange.onInstanceEnds();
+            mExchange.onShutdownDeadline();
         } else if (mHead != null) {
             refuse(QuilldykeException.notRun(ResultCode.SHUTTING_DOWN, "amid the request"));
-        } else if (isLeaving()) {
+        } else if (isWritingAnswer()) {
             mEntry.log()
                     .write(
                             Event.REFUSED,
@@ -165,7 +165,7 @@
 
     /** Closes the connection if nothing is open on it, and its first request isn't under way. */
     void closeIfIdle() {
-        boolean isNew = mLastWrite == null && mEntry.now() - mOpenedAt < NEW_MILLIS;
+        boolean isNew = mLastWrite == null && mEntry.now() - mOpenedAt < FIRST_REQUEST_MILLIS;
         if (!isBusy() && !isNew) {
             close();
         }
@@ -182,7 +182,7 @@
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
         response.headers().add(headers);
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
-        markLast(response.headers());
+        setCloseIfLast(response.headers());
         mLastWrite = mContext.writeAndFlush(response);
         onAnswered();
     }
@@ -215,7 +215,7 @@
         } else {
             response.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
         }
-        markLast(response.headers());
+        setCloseIfLast(response.headers());
         mContext.write(response);
     }
 
@@ -259,8 +259,8 @@
     private void onHead(HttpRequest head) throws QuilldykeException {
         mHead = head;
         mKeepAlive = HttpUtil.isKeepAlive(head);
-        RequestFraming.check(head, mEntry.limits().maxBodyBytes());
-        startTimer(mEntry.limits().idleTimeoutMillis(), this::onSlow);
+        RequestFraming.checkHead(head, mEntry.limits().maxBodyBytes());
+        startTimer(mEntry.limits().idleTimeoutMillis(), this::onRequestTimeout);
         mBody = mContext.alloc().buffer();
         if (HttpUtil.is100ContinueExpected(head)) {
             mContext.writeAndFlush(
@@ -299,8 +299,8 @@
         answer(e.code(), e.retryAfterMillis());
     }
 
-    private void markLast(HttpHeaders headers) {
-        mKeepAlive &= !endsByShutdown();
+    private void setCloseIfLast(HttpHeaders headers) {
+        mKeepAlive &= !closesForShutdown();
         if (!mKeepAlive) {
             headers.set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
         }
@@ -317,7 +317,7 @@
         }
         startTimer(mEntry.limits().idleTimeoutMillis(), this::onIdle);
         mContext.channel().config().setAutoRead(true);
-        mContext.executor().execute(this::readWaiting);
+        mContext.executor().execute(this::processQueuedMessages);
     }
 
     /**
@@ -326,31 +326,31 @@
      * answered.
      */
     private boolean isLastAnswer() {
-        return !mKeepAlive || endsByShutdown();
+        return !mKeepAlive || closesForShutdown();
     }
 
     /** A request that came behind this one was sent before its caller could know of the close. */
-    private boolean endsByShutdown() {
-        return mEntry.isDraining() && mWaiting.isEmpty();
+    private boolean closesForShutdown() {
+        return mEntry.isDraining() && mQueuedMessages.isEmpty();
     }
 
     /** The next answer isn't fetched before its caller takes the one before: each is held whole. */
-    private void readWaiting() {
-        while (mExchange == null && !mWaiting.isEmpty() && mContext.channel().isWritable()) {
-            Object message = mWaiting.poll();
+    private void processQueuedMessages() {
+        while (mExchange == null && !mQueuedMessages.isEmpty() && mContext.channel().isWritable()) {
+            Object message = mQueuedMessages.poll();
             if (mClosing) {
                 ReferenceCountUtil.release(message);
             } else {
                 onMessage(message);
             }
         }
-        if (mWaiting.isEmpty()) {
+        if (mQueuedMessages.isEmpty()) {
             mContext.channel().config().setAutoRead(true);
         }
     }
 
     private void onIdle() {
-        if (isLeaving()) {
+        if (isWritingAnswer()) {
             startTimer(mEntry.limits().idleTimeoutMillis(), this::onIdle);
             return;
         }
@@ -358,7 +358,7 @@
         mContext.close();
     }
 
-    private void onSlow() {
+    private void onRequestTimeout() {
         refuse(QuilldykeException.notRun(ResultCode.REQUEST_TOO_SLOW, "body"));
     }
 
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CallerServer.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CallerServer.java
@@ -28,11 +28,11 @@
 
 /** Takes callers' connections. */
 public final class CallerServer {
-    private final Entry mEntry;
+    private final EntryContext mEntry;
     private final Set<CallerConnection> mConnections = new HashSet<>();
     private Channel mListener;
 
-    private CallerServer(Entry entry) {
+    private CallerServer(EntryContext entry) {
         mEntry = entry;
     }
 
@@ -43,7 +43,7 @@
      * @param entry what the requests share
      * @throws QuilldykeException {@link ResultCode#ADDRESS_IN_USE} if the address can't be bound
      */
-    public static CallerServer start(String address, Entry entry) throws QuilldykeException {
+    public static CallerServer start(String address, EntryContext entry) throws QuilldykeException {
         CallerServer server = new CallerServer(entry);
         server.mListener = HttpListener.bind(address, entry.loop(), server::initialize);
         return server;
@@ -74,10 +74,10 @@
      *
      * @return how many connections had something open
      */
-    public int onInstanceEnds() {
-        int open = busyConnections();
-        new ArrayList<>(mConnections).forEach(CallerConnection::onInstanceEnds);
-        return open;
+    public int onShutdownDeadline() {
+        int busy = busyConnections();
+        new ArrayList<>(mConnections).forEach(CallerConnection::onShutdownDeadline);
+        return busy;
     }
 
     private void initialize(SocketChannel channel) {
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/PassedStream.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CallerStream.java
@@ -24,25 +24,25 @@
  * The events of one answer on their way to its caller, from whatever target they come: when the
  * first was passed on, how long the pauses were, and those that wait for a successor to begin.
  */
-final class PassedStream {
+final class CallerStream {
     private final CallerConnection mCaller;
-    private final Deque<EventSplitter.Event> mHeld = new ArrayDeque<>();
+    private final Deque<EventSplitter.Event> mHeldEvents = new ArrayDeque<>();
     private boolean mBegun;
-    private long mBegunAt;
+    private long mBeganAt;
     private long mFirstEventMillis = -1;
-    private long mEventAt;
+    private long mLastEventAt;
     private long mLongestPauseMillis;
-    private int mEvents;
+    private int mEventCount;
 
-    PassedStream(CallerConnection caller) {
+    CallerStream(CallerConnection caller) {
         mCaller = caller;
     }
 
     /** Sends the head of the first target that answers; one that goes on later adds only events. */
     void begin(TargetAnswer answer, long now) {
         mBegun = true;
-        mBegunAt = now;
-        mEventAt = now;
+        mBeganAt = now;
+        mLastEventAt = now;
         mFirstEventMillis = now - answer.sentAt();
         mCaller.beginStream(answer.status(), answer.headers());
     }
@@ -55,29 +55,29 @@
      * Tells how long the answer lasted: by that it is known what may still be taken when the
      * instance shuts down.
      *
-     * @param whole whether it is passed on whole
+     * @param complete whether it is passed on whole
      * @param sentAt when the last request was sent that may have run, 0 if none was
      */
-    void tellLasted(
+    void recordDuration(
             ShutdownAdmission shutdown,
             ForwardRequest request,
-            boolean whole,
+            boolean complete,
             long sentAt,
             long now) {
-        long begun = mBegun ? mBegunAt : sentAt;
-        if (begun == 0) {
+        long startedAt = mBegun ? mBeganAt : sentAt;
+        if (startedAt == 0) {
             return;
         }
-        if (whole) {
-            shutdown.onCompleted(request, mEvents, now - begun);
+        if (complete) {
+            shutdown.onCompleted(request, mEventCount, now - startedAt);
         } else {
-            shutdown.onInterrupted(request, mEvents, (mEvents > 0 ? mEventAt : now) - begun);
+            shutdown.onInterrupted(request, mEventCount, (mEventCount > 0 ? mLastEventAt : now) - startedAt);
         }
     }
 
     /** Returns when the last event was passed on, by the entry's clock. */
-    long eventAt() {
-        return mEventAt;
+    long lastEventAt() {
+        return mLastEventAt;
     }
 
     /** Returns the time from the sending to the first event, -1 if there was none. */
@@ -92,25 +92,25 @@
 
     /** Passes an event on. */
     void write(EventSplitter.Event event, long now) {
-        mLongestPauseMillis = Math.max(mLongestPauseMillis, now - mEventAt);
-        mEventAt = now;
-        mEvents++;
+        mLongestPauseMillis = Math.max(mLongestPauseMillis, now - mLastEventAt);
+        mLastEventAt = now;
+        mEventCount++;
         mCaller.write(event.bytes());
     }
 
     /** Keeps an event until it is known who goes on. */
     void hold(EventSplitter.Event event) {
-        mHeld.add(event);
+        mHeldEvents.add(event);
     }
 
     /** Returns the next event that was kept, null if there is none. */
     EventSplitter.Event nextHeld() {
-        return mHeld.poll();
+        return mHeldEvents.poll();
     }
 
     /** Forgets the events that were kept: somebody else sends them. */
     void releaseHeld() {
-        mHeld.forEach(event -> event.bytes().release());
-        mHeld.clear();
+        mHeldEvents.forEach(event -> event.bytes().release());
+        mHeldEvents.clear();
     }
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/ConfigurationStanding.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/ConfigurationStatus.java
@@ -19,8 +19,8 @@
  * Which configuration decides on a request, as its log lines tell it.
  *
  * @param version the manifest's version, -1 if none is known
- * @param index where in the replicated log it was accepted, -1 if none is known
- * @param confirmedMillis time since the last confirmed question was sent, -1 if none was
- * @param control who confirmed it, empty if nobody has
+ * @param logIndex where in the replicated log it was accepted, -1 if none is known
+ * @param confirmationAgeMillis time since the last confirmed question was sent, -1 if none was
+ * @param confirmedBy who confirmed it, empty if nobody has
  */
-record ConfigurationStanding(long version, long index, long confirmedMillis, String control) {}
+record ConfigurationStatus(long version, long logIndex, long confirmationAgeMillis, String confirmedBy) {}
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CrashWatch.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CrashDetector.java
@@ -24,20 +24,20 @@
 import org.quilldyke.caller.TargetCrash;
 
 /** Finds out which targets have crashed, and what they worked on then. On the traffic thread. */
-final class CrashWatch {
+final class CrashDetector {
     /** The other connections of a target that has ended are closed within this time. */
-    private static final long LOOK_MILLIS = 20;
+    private static final long PROBE_DELAY_MILLIS = 20;
 
-    private final Entry mEntry;
-    private final DisconnectedRuns mLost = DisconnectedRuns.create();
+    private final EntryContext mEntry;
+    private final DisconnectedRuns mLostRuns = DisconnectedRuns.create();
     private final SuspectRequests mSuspects = SuspectRequests.create();
     private CrashListener mListener = CrashListener.NONE;
 
-    CrashWatch(Entry entry) {
+    CrashDetector(EntryContext entry) {
         mEntry = entry;
     }
 
-    void listen(CrashListener listener) {
+    void setListener(CrashListener listener) {
         mListener = listener;
     }
 
@@ -47,32 +47,32 @@
 
     /** A target has closed the connection of a run: whether it has ended shows in a moment. */
     void onRunLost(String target, RequestFingerprint request) {
-        mLost.onDisconnected(target, request, mEntry.now());
+        mLostRuns.onDisconnected(target, request, mEntry.now());
         mEntry.loop()
-                .schedule(() -> mEntry.pool().look(target), LOOK_MILLIS, TimeUnit.MILLISECONDS);
+                .schedule(() -> mEntry.pool().probe(target), PROBE_DELAY_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** A target takes no connections, or has started again. */
-    void onTargetEnded(String target) {
+    void onTargetDown(String target) {
         long now = mEntry.now();
-        mLost.onTargetEnded(target, now)
-                .filter(crash -> !mEntry.book().isLeaving(target))
-                .ifPresent(crash -> tell(crash, now));
+        mLostRuns.onTargetEnded(target, now)
+                .filter(crash -> !mEntry.targetStates().isLeaving(target))
+                .ifPresent(crash -> reportCrash(crash, now));
     }
 
     /** A target has said that it is gone: what it breaks off then is no crash. */
     void onTargetLeft(String target) {
-        mLost.onTargetLeft(target);
+        mLostRuns.onTargetLeft(target);
     }
 
-    void onCompleted(RequestFingerprint request) {
+    void onRunCompleted(RequestFingerprint request) {
         long now = mEntry.now();
         if (mSuspects.onCompleted(request, now)) {
-            mListener.onCompleted(request, now);
+            mListener.onSuspectCompleted(request, now);
         }
     }
 
-    private void tell(TargetCrash crash, long now) {
+    private void reportCrash(TargetCrash crash, long now) {
         Set<RequestFingerprint> requests =
                 crash.requests().stream()
                         .filter(request -> !mSuspects.hasCompletedRecently(request, now))
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CrashListener.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CrashListener.java
@@ -27,12 +27,12 @@
                 public void onCrash(TargetCrash crash) {}
 
                 @Override
-                public void onCompleted(RequestFingerprint request, long at) {}
+                public void onSuspectCompleted(RequestFingerprint request, long at) {}
             };
 
     /** A target has ended amid runs. */
     void onCrash(TargetCrash crash);
 
     /** A request that is suspected to crash targets ran to its end. */
-    void onCompleted(RequestFingerprint request, long at);
+    void onSuspectCompleted(RequestFingerprint request, long at);
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/Entry.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/EntryContext.java
@@ -36,7 +36,7 @@
 import org.quilldyke.daemon.log.EventLog;
 import org.quilldyke.engine.TargetReport;
 import org.quilldyke.gateway.dialect.Dialect;
-import org.quilldyke.gateway.engine.TargetPool;
+import org.quilldyke.gateway.engine.TargetConnectionPool;
 import org.quilldyke.gateway.platform.GatewayMetrics;
 import org.quilldyke.manifest.Limits;
 import org.quilldyke.manifest.RouteTable;
@@ -44,109 +44,109 @@
 import org.quilldyke.routing.TargetSelector;
 
 /** What all requests at an entry instance share. Lives on the traffic thread. */
-public final class Entry {
+public final class EntryContext {
     /** How often it is looked whether a target whose reports have ended still answers. */
-    private static final long HEARD_CHECK_MILLIS = 500;
+    private static final long LIVENESS_CHECK_MILLIS = 500;
 
     /** How often it is looked whether a few streams keep a target from loading weights. */
-    private static final long HELD_UP_CHECK_MILLIS = 100;
+    private static final long LOADING_DELAY_CHECK_MILLIS = 100;
 
     /** How often it is looked, during a shutdown, which streams won't end in time. */
-    private static final long ENDING_CHECK_MILLIS = 100;
+    private static final long SHUTDOWN_CHECK_MILLIS = 100;
 
     private static final long NO_VERSION = -1;
 
     /** Stands for this entry where a control process may have told something. */
-    private static final String OWN = "answer";
+    private static final String SOURCE_ANSWER = "answer";
 
     private final EventLoop mLoop;
     private final LongSupplier mClock;
     private final LongSupplier mLeaseClock;
     private final Dialect mDialect;
-    private final TargetSelector mBook;
-    private final TargetPool mPool;
-    private final ServiceRetryBudget mRetries;
-    private final ShutdownAdmission mShutdown = ShutdownAdmission.create();
-    private final KeyLease mLease;
-    private final long mApplyMillis;
+    private final TargetSelector mTargetStates;
+    private final TargetConnectionPool mPool;
+    private final ServiceRetryBudget mRetryBudget;
+    private final ShutdownAdmission mShutdownAdmission = ShutdownAdmission.create();
+    private final KeyLease mKeyLease;
+    private final long mMaxApplyMillis;
     private final EventLog mLog;
     private final GatewayMetrics mMetrics;
-    private final Map<String, Set<Exchange>> mExchanges = new HashMap<>();
-    private final Set<String> mLapsing = new HashSet<>();
-    private final CrashWatch mCrashes = new CrashWatch(this);
-    private Consumer<AdvertisedLimit> mOnLimit = limit -> {};
+    private final Map<String, Set<Exchange>> mExchangesByTarget = new HashMap<>();
+    private final Set<String> mUnreported = new HashSet<>();
+    private final CrashDetector mCrashDetector = new CrashDetector(this);
+    private Consumer<AdvertisedLimit> mLimitConsumer = limit -> {};
     private RouteTable mRoutes;
-    private long mIndex = NO_VERSION;
+    private long mLogIndex = NO_VERSION;
     private String mConfirmedBy = "";
-    private OptionalLong mDrainBegunAt = OptionalLong.empty();
-
-    private Entry(Parts parts) {
-        mLoop = parts.loop();
-        mClock = parts.clock();
-        mLeaseClock = parts.leaseClock();
-        mDialect = parts.dialect();
-        mBook = parts.book();
-        mRetries = parts.retries();
-        mLease = parts.lease();
-        mApplyMillis = parts.applyMillis();
-        mLog = parts.log();
+    private OptionalLong mDrainStartedAt = OptionalLong.empty();
+
+    private EntryContext(Dependencies dependencies) {
+        mLoop = dependencies.loop();
+        mClock = dependencies.clock();
+        mLeaseClock = dependencies.leaseClock();
+        mDialect = dependencies.dialect();
+        mTargetStates = dependencies.targetStates();
+        mRetryBudget = dependencies.retryBudget();
+        mKeyLease = dependencies.keyLease();
+        mMaxApplyMillis = dependencies.maxApplyMillis();
+        mLog = dependencies.log();
         mPool =
-                TargetPool.create(
+                TargetConnectionPool.create(
                         mLoop,
                         mDialect.targets(),
                         mClock,
-                        new TargetPool.Listener() {
+                        new TargetConnectionPool.Listener() {
                             @Override
-                            public void onFault(Throwable fault) {
+                            public void onInternalError(Throwable fault) {
                                 mLog.fault(fault, "while a target is read");
                             }
 
                             @Override
-                            public void onFree(String target, int free) {
-                                mBook.onFreeConnections(target, free);
+                            public void onFreeConnections(String target, int free) {
+                                mTargetStates.onFreeConnections(target, free);
                             }
 
                             @Override
-                            public void onRefused(String target) {
-                                mCrashes.onTargetEnded(target);
+                            public void onConnectionRefused(String target) {
+                                mCrashDetector.onTargetDown(target);
                             }
                         });
-        mMetrics = parts.metrics();
+        mMetrics = dependencies.metrics();
     }
 
     /** Returns an entry that knows no configuration yet. */
-    public static Entry of(Parts parts) {
-        return new Entry(parts);
+    public static EntryContext of(Dependencies dependencies) {
+        return new EntryContext(dependencies);
     }
 
     /**
      * Takes a configuration.
      *
      * @param routes what it allows
-     * @param index where in the replicated log it was accepted
+     * @param logIndex where in the replicated log it was accepted
      */
-    public void onRoutes(RouteTable routes, long index) {
+    public void onRoutes(RouteTable routes, long logIndex) {
         mRoutes = routes;
-        mIndex = index;
-        mBook.onServices(routes.manifest().services());
+        mLogIndex = logIndex;
+        mTargetStates.onServices(routes.manifest().services());
     }
 
     /** Notes that a target is gone or was silent for too long: what is open there is lost. */
-    public void onTargetLost(String target, boolean silent) {
-        if (silent && mBook.isResponding(target, now())) {
+    public void onTargetRemoved(String target, boolean unannounced) {
+        if (unannounced && mTargetStates.isResponding(target, now())) {
             // Its reports don't arrive, but its answers do.
-            mLapsing.add(target);
-            mLoop.schedule(() -> checkLapsing(target), HEARD_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+            mUnreported.add(target);
+            mLoop.schedule(() -> checkUnreported(target), LIVENESS_CHECK_MILLIS, TimeUnit.MILLISECONDS);
             return;
         }
-        if (silent) {
-            mCrashes.onTargetEnded(target);
+        if (unannounced) {
+            mCrashDetector.onTargetDown(target);
         } else {
-            mCrashes.onTargetLeft(target);
+            mCrashDetector.onTargetLeft(target);
         }
-        forget(target);
-        if (silent) {
-            open(target).forEach(exchange -> exchange.onTargetSilent(target));
+        removeTarget(target);
+        if (unannounced) {
+            openExchanges(target).forEach(exchange -> exchange.onTargetSilent(target));
         }
     }
 
@@ -154,45 +154,45 @@
      * Notes that a target is said to have started again: it is asked for nothing more, and what it
      * hasn't begun to answer is lost.
      */
-    public void onTargetEnded(String target) {
-        mCrashes.onTargetEnded(target);
-        forget(target);
-        open(target)
+    public void onTargetRestarted(String target) {
+        mCrashDetector.onTargetDown(target);
+        removeTarget(target);
+        openExchanges(target)
                 .forEach(
-                        exchange -> exchange.onTargetEnded(target, "the target has started again"));
+                        exchange -> exchange.onTargetRestarted(target, "the target has started again"));
     }
 
-    private void forget(String target) {
-        mLapsing.remove(target);
-        mBook.onRemoved(target);
-        mPool.forget(target);
+    private void removeTarget(String target) {
+        mUnreported.remove(target);
+        mTargetStates.onRemoved(target);
+        mPool.removeTarget(target);
     }
 
-    private List<Exchange> open(String target) {
-        return new ArrayList<>(mExchanges.getOrDefault(target, Set.of()));
+    private List<Exchange> openExchanges(String target) {
+        return new ArrayList<>(mExchangesByTarget.getOrDefault(target, Set.of()));
     }
 
     /** Takes what a target reports. */
     public void onReport(TargetReport report) {
-        mLapsing.remove(report.id());
-        mBook.onReport(report);
+        mUnreported.remove(report.id());
+        mTargetStates.onReport(report);
     }
 
     /** Takes what a target's answer says of its limit, and tells others if that is new. */
-    void onLimitHeard(AdvertisedLimit limit) {
-        if (takeLimit(limit, OWN)) {
-            mOnLimit.accept(limit);
+    void onLimitInAnswer(AdvertisedLimit limit) {
+        if (applyLimit(limit, SOURCE_ANSWER)) {
+            mLimitConsumer.accept(limit);
         }
     }
 
     /** Takes what a target said of its limit to another entry, as a control process tells. */
-    public void onLimitTold(AdvertisedLimit limit, String control) {
-        takeLimit(limit, control);
+    public void onLimitFromControl(AdvertisedLimit limit, String control) {
+        applyLimit(limit, control);
     }
 
-    private boolean takeLimit(AdvertisedLimit limit, String by) {
-        boolean news = mBook.onLimit(limit, now());
-        if (news) {
+    private boolean applyLimit(AdvertisedLimit limit, String source) {
+        boolean changed = mTargetStates.onLimit(limit, now());
+        if (changed) {
             mLog.write(
                     Event.TARGET_LIMITED,
                     "target",
@@ -200,21 +200,21 @@
                     "per_second",
                     limit.isSet() ? limit.perSecond() : "none",
                     "by",
-                    by);
+                    source);
         }
-        return news;
+        return changed;
     }
 
     /** Has a consumer take limits that targets name anew here; the one before takes no more. */
-    public void tellLimits(Consumer<AdvertisedLimit> onLimit) {
-        mOnLimit = onLimit;
+    public void setLimitConsumer(Consumer<AdvertisedLimit> consumer) {
+        mLimitConsumer = consumer;
     }
 
     /** Notes that a target is about to load weights, or has done so. */
     public void onLoading(String target, boolean loading) {
-        mBook.onLoading(target, loading, now());
+        mTargetStates.onLoading(target, loading, now());
         if (loading) {
-            checkHeldUp(target);
+            checkLoadingDelay(target);
         }
     }
 
@@ -222,20 +222,20 @@
      * Streams that hold up a target that is to load weights go on elsewhere; but not from an
      * instance that shuts down, which has to bring them to their end.
      */
-    private void checkHeldUp(String target) {
-        boolean nothingOpen = !mExchanges.containsKey(target);
-        if (nothingOpen || isDraining() || !mBook.isLoading(target, now())) {
+    private void checkLoadingDelay(String target) {
+        boolean nothingOpen = !mExchangesByTarget.containsKey(target);
+        if (nothingOpen || isDraining() || !mTargetStates.isLoading(target, now())) {
             return;
         }
-        if (mBook.shouldMoveStreams(target, now())) {
-            open(target).forEach(exchange -> exchange.onTargetWaits(target));
+        if (mTargetStates.shouldMoveStreams(target, now())) {
+            openExchanges(target).forEach(exchange -> exchange.onTargetWaitsToLoad(target));
         }
-        mLoop.schedule(() -> checkHeldUp(target), HELD_UP_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+        mLoop.schedule(() -> checkLoadingDelay(target), LOADING_DELAY_CHECK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void checkLapsing(String target) {
-        if (mLapsing.contains(target)) {
-            onTargetLost(target, true);
+    private void checkUnreported(String target) {
+        if (mUnreported.contains(target)) {
+            onTargetRemoved(target, true);
         }
     }
 
@@ -243,24 +243,24 @@
      * Takes no more connections for long, and no request that would not end in time: answers end
      * their connections.
      *
-     * @param begunAt when the instance was told to shut down
+     * @param startedAt when the instance was told to shut down
      * @param endsAt when the last answer has to be out
      */
-    public void drain(long begunAt, long endsAt) {
-        mDrainBegunAt = OptionalLong.of(begunAt);
-        mShutdown.onShutdown(endsAt);
-        checkEnding(endsAt);
+    public void drain(long startedAt, long endsAt) {
+        mDrainStartedAt = OptionalLong.of(startedAt);
+        mShutdownAdmission.onShutdown(endsAt);
+        checkShutdownDeadline(endsAt);
     }
 
     /** Streams that would outlast the instance go on where they may end in time. */
-    private void checkEnding(long endsAt) {
+    private void checkShutdownDeadline(long endsAt) {
         if (now() >= endsAt) {
             return;
         }
         Set<Exchange> all = new HashSet<>();
-        mExchanges.values().forEach(all::addAll);
-        all.forEach(Exchange::onInstanceEnding);
-        mLoop.schedule(() -> checkEnding(endsAt), ENDING_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+        mExchangesByTarget.values().forEach(all::addAll);
+        all.forEach(Exchange::onShuttingDown);
+        mLoop.schedule(() -> checkShutdownDeadline(endsAt), SHUTDOWN_CHECK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** Returns the present configuration, or null if none is known. */
@@ -275,18 +275,18 @@
 
     /** Returns whether the instance shuts down. */
     public boolean isDraining() {
-        return mShutdown.isShuttingDown();
+        return mShutdownAdmission.isShuttingDown();
     }
 
     /** Returns for how long the instance has shut down, in milliseconds; empty if it doesn't. */
     OptionalLong drainMillis() {
-        return mDrainBegunAt.isEmpty()
+        return mDrainStartedAt.isEmpty()
                 ? OptionalLong.empty()
-                : OptionalLong.of(now() - mDrainBegunAt.getAsLong());
+                : OptionalLong.of(now() - mDrainStartedAt.getAsLong());
     }
 
     /** Returns the version of the present configuration, -1 if none is known. */
-    long version() {
+    long configurationVersion() {
         return mRoutes == null ? NO_VERSION : mRoutes.manifest().version();
     }
 
@@ -296,28 +296,28 @@
      * @param askedAt when it was asked, by the leases' clock
      * @param control its address
      */
-    public void onConfirmed(long askedAt, String control) {
-        mLease.onConfirmed(askedAt);
+    public void onConfigurationConfirmed(long askedAt, String control) {
+        mKeyLease.onConfirmed(askedAt);
         mConfirmedBy = control;
     }
 
     /** Returns which configuration is in force here, and how sure that is. */
-    ConfigurationStanding standing() {
-        long age = mLease.wasGranted() ? keyAge() : NO_VERSION;
-        return new ConfigurationStanding(version(), mIndex, age, mConfirmedBy);
+    ConfigurationStatus configurationStatus() {
+        long age = mKeyLease.wasGranted() ? confirmationAgeMillis() : NO_VERSION;
+        return new ConfigurationStatus(configurationVersion(), mLogIndex, age, mConfirmedBy);
     }
 
     /**
      * Returns whether the configuration is the newest, as far as can be known: only then a path or
      * a key that it doesn't hold is denied.
      */
-    public boolean mayDeny() {
-        return mRoutes != null && keyAge() < mApplyMillis;
+    public boolean isConfigurationCurrent() {
+        return mRoutes != null && confirmationAgeMillis() < mMaxApplyMillis;
     }
 
     /** Returns whether the configuration was confirmed a short while ago. */
-    public boolean isConfirmed() {
-        return mRoutes != null && mLease.isValid(mLeaseClock.getAsLong());
+    public boolean isConfigurationConfirmed() {
+        return mRoutes != null && mKeyLease.isValid(mLeaseClock.getAsLong());
     }
 
     /** Returns the present time in monotonic milliseconds. */
@@ -331,52 +331,52 @@
     }
 
     /** Returns the targets. */
-    public TargetSelector book() {
-        return mBook;
+    public TargetSelector targetStates() {
+        return mTargetStates;
     }
 
     /** Returns the connections to targets. */
-    public TargetPool pool() {
+    public TargetConnectionPool pool() {
         return mPool;
     }
 
     /** Returns what bounds second attempts. */
-    public ServiceRetryBudget retries() {
-        return mRetries;
+    public ServiceRetryBudget retryBudget() {
+        return mRetryBudget;
     }
 
     /** Returns the decisions for a request. */
     Forwarding forwarding(ForwardRequest request) {
-        return Forwarding.of(request, mBook, mRetries, mShutdown, suspects());
+        return Forwarding.of(request, mTargetStates, mRetryBudget, mShutdownAdmission, suspects());
     }
 
     /** Returns which requests may crash targets. */
     public SuspectRequests suspects() {
-        return mCrashes.suspects();
+        return mCrashDetector.suspects();
     }
 
     /** Has a listener hear of crashes; the one before hears no more. */
-    public void listenToCrashes(CrashListener listener) {
-        mCrashes.listen(listener);
+    public void setCrashListener(CrashListener listener) {
+        mCrashDetector.setListener(listener);
     }
 
-    CrashWatch crashes() {
-        return mCrashes;
+    CrashDetector crashDetector() {
+        return mCrashDetector;
     }
 
     /** Returns the time since the configuration was confirmed, see {@link KeyLease#ageMillis}. */
-    public long keyAge() {
-        return mLease.ageMillis(mLeaseClock.getAsLong());
+    public long confirmationAgeMillis() {
+        return mKeyLease.ageMillis(mLeaseClock.getAsLong());
     }
 
     /** Returns for how long keys may be taken for good. */
-    public KeyLease lease() {
-        return mLease;
+    public KeyLease keyLease() {
+        return mKeyLease;
     }
 
     /** Returns which requests are taken while the instance shuts down. */
-    ShutdownAdmission shutdown() {
-        return mShutdown;
+    ShutdownAdmission shutdownAdmission() {
+        return mShutdownAdmission;
     }
 
     Dialect dialect() {
@@ -391,16 +391,16 @@
         return mMetrics;
     }
 
-    void onOpened(String target, Exchange exchange) {
-        mExchanges.computeIfAbsent(target, id -> new HashSet<>()).add(exchange);
+    void onAttemptOpened(String target, Exchange exchange) {
+        mExchangesByTarget.computeIfAbsent(target, id -> new HashSet<>()).add(exchange);
     }
 
-    void onClosed(String target, Exchange exchange) {
-        Set<Exchange> open = mExchanges.get(target);
+    void onAttemptClosed(String target, Exchange exchange) {
+        Set<Exchange> open = mExchangesByTarget.get(target);
         if (open != null) {
             open.remove(exchange);
             if (open.isEmpty()) {
-                mExchanges.remove(target);
+                mExchangesByTarget.remove(target);
             }
         }
     }
@@ -412,22 +412,22 @@
      * @param clock monotonic milliseconds
      * @param leaseClock the time by which leases end, in milliseconds
      * @param dialect how callers and targets speak
-     * @param book the targets
-     * @param retries bounds second attempts
-     * @param lease for how long keys may be taken for good
-     * @param applyMillis within what time an accepted configuration must be in force
+     * @param targetStates the targets
+     * @param retryBudget bounds second attempts
+     * @param keyLease for how long keys may be taken for good
+     * @param maxApplyMillis within what time an accepted configuration must be in force
      * @param log where events go
      * @param metrics what is counted
      */
-    public record Parts(
+    public record Dependencies(
             EventLoop loop,
             LongSupplier clock,
             LongSupplier leaseClock,
             Dialect dialect,
-            TargetSelector book,
-            ServiceRetryBudget retries,
-            KeyLease lease,
-            long applyMillis,
+            TargetSelector targetStates,
+            ServiceRetryBudget retryBudget,
+            KeyLease keyLease,
+            long maxApplyMillis,
             EventLog log,
             GatewayMetrics metrics) {}
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/EventSplitter.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/EventSplitter.java
@@ -33,61 +33,61 @@
 
     private static final String ID_FIELD = "id:";
 
-    private final ByteBuf mPending;
+    private final ByteBuf mBuffer;
     private int mLineStart;
 
     EventSplitter(ByteBufAllocator allocator) {
-        mPending = allocator.buffer();
+        mBuffer = allocator.buffer();
     }
 
     /** Takes bytes and returns the events that are whole now; the caller releases them. */
     List<Event> add(ByteBuf bytes) {
-        mPending.writeBytes(bytes);
+        mBuffer.writeBytes(bytes);
         List<Event> events = new ArrayList<>();
-        int at;
-        while ((at = mPending.indexOf(mLineStart, mPending.writerIndex(), (byte) '\n')) >= 0) {
-            boolean empty = at == mLineStart || isCarriageReturn(mLineStart, at);
-            mLineStart = at + 1;
+        int newlineAt;
+        while ((newlineAt = mBuffer.indexOf(mLineStart, mBuffer.writerIndex(), (byte) '\n')) >= 0) {
+            boolean empty = newlineAt == mLineStart || isCarriageReturn(mLineStart, newlineAt);
+            mLineStart = newlineAt + 1;
             if (empty) {
-                int length = mLineStart - mPending.readerIndex();
-                events.add(eventOf(mPending.readBytes(length)));
+                int length = mLineStart - mBuffer.readerIndex();
+                events.add(eventOf(mBuffer.readBytes(length)));
             }
         }
-        mLineStart -= mPending.readerIndex();
-        mPending.discardReadBytes();
+        mLineStart -= mBuffer.readerIndex();
+        mBuffer.discardReadBytes();
         return events;
     }
 
     /** Returns how many bytes are here of an event that isn't whole. */
-    int partBytes() {
-        return mPending.readableBytes();
+    int incompleteBytes() {
+        return mBuffer.readableBytes();
     }
 
     /** Forgets the part of an event that never came whole. */
     void clear() {
-        mPending.clear();
+        mBuffer.clear();
         mLineStart = 0;
     }
 
     void release() {
-        mPending.release();
+        mBuffer.release();
     }
 
     private boolean isCarriageReturn(int lineStart, int end) {
-        return end == lineStart + 1 && mPending.getByte(lineStart) == '\r';
+        return end == lineStart + 1 && mBuffer.getByte(lineStart) == '\r';
     }
 
     private static Event eventOf(ByteBuf bytes) {
         long number = NO_NUMBER;
         for (String line : bytes.toString(StandardCharsets.UTF_8).split("\r?\n")) {
             if (line.startsWith(ID_FIELD)) {
-                number = parse(line.substring(ID_FIELD.length()).trim());
+                number = parseNumber(line.substring(ID_FIELD.length()).trim());
             }
         }
         return new Event(bytes, number);
     }
 
-    private static long parse(String text) {
+    private static long parseNumber(String text) {
         return !text.isEmpty() && AsciiString.of(text).chars().allMatch(Character::isDigit)
                 ? Long.parseLong(text)
                 : NO_NUMBER;
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/Exchange.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/Exchange.java
@@ -32,17 +32,17 @@
 /** One request from its arrival to its answer: carries out what {@link Forwarding} decides. */
 final class Exchange {
     /** How often a request that waits for the first configuration looks for it. */
-    private static final long START_UP_STEP_MILLIS = 20;
+    private static final long START_UP_POLL_MILLIS = 20;
 
-    private final Entry mEntry;
+    private final EntryContext mEntry;
     private final CallerConnection mCaller;
     private final HttpRequest mHead;
     private final ByteBuf mBody;
     private final ExchangeLog mLog;
     private final long mArrivedAt;
-    private final PassedStream mStream;
-    private final SilenceWatch mSilence;
-    private long mMillisLeft = -1;
+    private final CallerStream mStream;
+    private final SilenceDetector mSilenceDetector;
+    private long mCallerMillisLeft = -1;
     private ForwardRequest mRequest;
     private Forwarding mForwarding;
 
@@ -52,10 +52,10 @@
     /** The answer that takes its place once it begins; null if none is asked for. */
     private TargetAnswer mSuccessor;
 
-    private String mSuccessorWhy = "";
-    private ScheduledFuture<?> mTimeOver;
-    private ScheduledFuture<?> mHoldOver;
-    private ScheduledFuture<?> mWait;
+    private String mSuccessorReason = "";
+    private ScheduledFuture<?> mDeadlineTimer;
+    private ScheduledFuture<?> mHoldTimer;
+    private ScheduledFuture<?> mWaitTimer;
 
     /** The target that was chosen last; null if none was. */
     private Choice mChoice;
@@ -63,20 +63,20 @@
     /** When the last attempt that may have run was sent, 0 if there was none. */
     private long mSentAt;
 
-    private long mVersionBegun;
-    private ExchangeLog.LeftRun mLeft;
-    private boolean mPaused;
-    private boolean mWhole;
+    private long mVersionAtStart;
+    private ExchangeLog.AbandonedRun mAbandoned;
+    private boolean mReadingPaused;
+    private boolean mComplete;
     private boolean mEnded;
 
-    Exchange(Entry entry, CallerConnection caller, HttpRequest head, ByteBuf body) {
+    Exchange(EntryContext entry, CallerConnection caller, HttpRequest head, ByteBuf body) {
         mEntry = entry;
         mCaller = caller;
         mHead = head;
         mBody = body;
         mLog = new ExchangeLog(entry.log());
-        mStream = new PassedStream(caller);
-        mSilence = new SilenceWatch(entry, this::onSilent);
+        mStream = new CallerStream(caller);
+        mSilenceDetector = new SilenceDetector(entry, this::onSilent);
         mArrivedAt = entry.now();
     }
 
@@ -84,29 +84,29 @@
     void start() {
         try {
             if (waitsForStartUp()) {
-                mWait =
+                mWaitTimer =
                         mEntry.loop()
-                                .schedule(this::start, START_UP_STEP_MILLIS, TimeUnit.MILLISECONDS);
+                                .schedule(this::start, START_UP_POLL_MILLIS, TimeUnit.MILLISECONDS);
                 return;
             }
-            mRequest = CallerRequests.admit(mEntry, mHead, mBody, mArrivedAt);
-            mVersionBegun = mEntry.version();
+            mRequest = RequestAdmission.admit(mEntry, mHead, mBody, mArrivedAt);
+            mVersionAtStart = mEntry.configurationVersion();
         } catch (QuilldykeException e) {
             refuse(e.code(), e.retryAfterMillis(), e.getMessage());
             return;
         }
-        long left = Math.max(0, mRequest.deadline() - now());
-        mTimeOver = mEntry.loop().schedule(this::onTimeOver, left, TimeUnit.MILLISECONDS);
+        long delay = Math.max(0, mRequest.deadline() - now());
+        mDeadlineTimer = mEntry.loop().schedule(this::onDeadline, delay, TimeUnit.MILLISECONDS);
         mForwarding = mEntry.forwarding(mRequest);
         mEntry.metrics().onRequest(mRequest.route().kind());
         perform(mForwarding.start(now()));
     }
 
-    void onCallerGone() {
+    void onCallerDisconnected() {
         if (mEnded) {
             return;
         }
-        mLog.callerGone(id(), now() - mArrivedAt);
+        mLog.callerDisconnected(id(), now() - mArrivedAt);
         mEntry.metrics().onCallerGone();
         if (mForwarding != null) {
             mForwarding.onCallerDisconnected();
@@ -115,7 +115,7 @@
     }
 
     /** The instance ends before the answer does. */
-    void onInstanceEnds() {
+    void onShutdownDeadline() {
         if (mEnded) {
             return;
         }
@@ -129,7 +129,7 @@
 
     /** While the caller doesn't read, the targets aren't read either. */
     void onWritable(boolean writable) {
-        mPaused = !writable;
+        mReadingPaused = !writable;
         if (mAnswer != null) {
             mAnswer.setReading(writable);
         }
@@ -140,50 +140,50 @@
 
     /** A target is silent to all; it is kept until somebody else begins to answer. */
     void onTargetSilent(String target) {
-        if (isPresentAt(target) && mayUseKey()) {
-            askSuccessor(mForwarding.onTargetUnresponsive(now()), "the target is silent");
+        if (isServedBy(target) && mayUseKey()) {
+            startSuccessor(mForwarding.onTargetUnresponsive(now()), "the target is silent");
         }
     }
 
     /** Who has begun to answer is judged by what is heard of it, whatever is said. */
-    void onTargetEnded(String target, String why) {
-        if (isPresentAt(target) && mAnswer.hasBegun()) {
-            mSilence.onTargetEnded();
-        } else if (isPresentAt(target)) {
-            leave(mAnswer);
-            logAttempt(mAnswer, "broken", ResultCode.TARGET_LOST.label() + " " + why);
+    void onTargetRestarted(String target, String reason) {
+        if (isServedBy(target) && mAnswer.hasStartedRun()) {
+            mSilenceDetector.onRestartReported();
+        } else if (isServedBy(target)) {
+            abandon(mAnswer);
+            logAttempt(mAnswer, "broken", ResultCode.TARGET_LOST.label() + " " + reason);
             mAnswer = null;
             perform(mForwarding.onTargetLost(CutCause.CONTROL, now()));
-        } else if (!mEnded && mSuccessor != null && mSuccessor.isAt(target)) {
-            mSuccessor.giveUp(ResultCode.TARGET_LOST, why);
+        } else if (!mEnded && mSuccessor != null && mSuccessor.isFrom(target)) {
+            mSuccessor.fail(ResultCode.TARGET_LOST, reason);
         }
     }
 
     /** A target waits for its runs to end, to load weights. */
-    void onTargetWaits(String target) {
-        if (isPresentAt(target)) {
-            askSuccessor(mForwarding.onLoadPending(now()), "the target waits to load weights");
+    void onTargetWaitsToLoad(String target) {
+        if (isServedBy(target)) {
+            startSuccessor(mForwarding.onLoadPending(now()), "the target waits to load weights");
         }
     }
 
     /**
      * The instance has to end soon: a stream that would last longer goes on where it is quicker.
      */
-    void onInstanceEnding() {
-        if (!mEnded && mAnswer != null && !mPaused) {
-            askSuccessor(mForwarding.onShutdownCheck(now()), "it would outlast the instance");
+    void onShuttingDown() {
+        if (!mEnded && mAnswer != null && !mReadingPaused) {
+            startSuccessor(mForwarding.onShutdownCheck(now()), "it would outlast the instance");
         }
     }
 
-    private boolean isPresentAt(String target) {
-        return !mEnded && mAnswer != null && mAnswer.isAt(target);
+    private boolean isServedBy(String target) {
+        return !mEnded && mAnswer != null && mAnswer.isFrom(target);
     }
 
-    void onUnsent(TargetAnswer answer, String why) {
-        logAttempt(answer, "unsent", why);
+    void onUnsent(TargetAnswer answer, String reason) {
+        logAttempt(answer, "unsent", reason);
         if (answer == mSuccessor) {
             mForwarding.onSuccessorUnreachable(now());
-            stay();
+            keepCurrentAnswer();
         } else {
             mAnswer = null;
             perform(mForwarding.onUnreachable(now()));
@@ -196,37 +196,37 @@
         } else {
             mForwarding.onSending();
             mSentAt = now();
-            mSilence.start(mAnswer, mForwarding.unresponsiveTimeoutMillis());
+            mSilenceDetector.start(mAnswer, mForwarding.unresponsiveTimeoutMillis());
         }
     }
 
     /** The target refuses the request unrun. */
     void onRefused(TargetAnswer answer) {
-        logAttempt(answer, "refused", "status " + answer.facts().status());
+        logAttempt(answer, "refused", "status " + answer.answerHead().status());
         if (answer == mSuccessor) {
-            mForwarding.onSuccessorRefused(answer.facts(), now());
-            stay();
+            mForwarding.onSuccessorRefused(answer.answerHead(), now());
+            keepCurrentAnswer();
         } else {
             mSentAt = 0;
             mAnswer = null;
-            perform(mForwarding.onAnswerHead(answer.facts(), now()));
+            perform(mForwarding.onAnswerHead(answer.answerHead(), now()));
         }
     }
 
     /** A stream begins. */
-    void onStream(TargetAnswer answer) {
+    void onStreamStart(TargetAnswer answer) {
         if (answer == mSuccessor) {
-            if (!mForwarding.maySuccessorTakeOver(answer.facts())) {
-                answer.giveUp(ResultCode.ANSWER_SPOILED, "no signature");
+            if (!mForwarding.maySuccessorTakeOver(answer.answerHead())) {
+                answer.fail(ResultCode.ANSWER_SPOILED, "no signature");
                 return;
             }
-            takeOver();
+            switchToSuccessor();
         }
-        Step step = mForwarding.onAnswerHead(answer.facts(), now());
+        Step step = mForwarding.onAnswerHead(answer.answerHead(), now());
         if (step instanceof Step.Relay) {
-            dropSuccessor();
+            cancelSuccessor();
         } else {
-            leave(answer);
+            abandon(answer);
             logAttempt(answer, "spoiled", "no signature");
             mAnswer = null;
             perform(step);
@@ -238,27 +238,27 @@
         if (mForwarding.holdsEvents()) {
             mStream.hold(event);
         } else {
-            dropSuccessor();
-            passOn(answer, event);
+            cancelSuccessor();
+            writeEvent(answer, event);
         }
     }
 
     /** An answer that isn't a stream is whole. */
-    void onWhole(TargetAnswer answer) {
+    void onCompleteAnswer(TargetAnswer answer) {
         if (answer == mSuccessor) {
-            if (!mForwarding.maySuccessorTakeOver(answer.facts())) {
-                answer.giveUp(ResultCode.STREAM_BROKEN, "status " + answer.facts().status());
+            if (!mForwarding.maySuccessorTakeOver(answer.answerHead())) {
+                answer.fail(ResultCode.STREAM_BROKEN, "status " + answer.answerHead().status());
                 return;
             }
-            takeOver();
+            switchToSuccessor();
         }
-        Step step = mForwarding.onAnswerHead(answer.facts(), now());
+        Step step = mForwarding.onAnswerHead(answer.answerHead(), now());
         if (step instanceof Step.Relay) {
             mForwarding.onComplete();
-            passAnswer();
+            writeAnswer();
         } else {
-            logAttempt(answer, "failed", "status " + answer.facts().status());
-            leave(answer);
+            logAttempt(answer, "failed", "status " + answer.answerHead().status());
+            abandon(answer);
             mAnswer = null;
             perform(step);
         }
@@ -268,28 +268,28 @@
         if (answer == mSuccessor) {
             return;
         }
-        dropSuccessor();
-        passHeld();
+        cancelSuccessor();
+        writeHeldEvents();
         if (mAnswer != answer) {
             // What was held has spoiled it.
             return;
         }
         beginStream();
         mForwarding.onComplete();
-        mWhole = true;
+        mComplete = true;
         logAnswered();
         end();
         mCaller.endStream();
     }
 
     /** An answer broke off, or is none. */
-    void onBroken(TargetAnswer answer, ResultCode code, String why) {
-        logAttempt(answer, "broken", code.label() + " " + why);
+    void onFailed(TargetAnswer answer, ResultCode code, String reason) {
+        logAttempt(answer, "broken", code.label() + " " + reason);
         if (answer == mSuccessor) {
             mForwarding.onSuccessorFailed(now());
-            stay();
+            keepCurrentAnswer();
         } else {
-            leave(answer);
+            abandon(answer);
             mAnswer = null;
             perform(mForwarding.onAnswerFailed(code, now()));
         }
@@ -297,14 +297,14 @@
 
     /** Returns whether the instance has just started and the request can wait until it is ready. */
     private boolean waitsForStartUp() throws QuilldykeException {
-        if (mEntry.routes() != null && mEntry.lease().wasGranted()) {
+        if (mEntry.routes() != null && mEntry.keyLease().wasGranted()) {
             return false;
         }
-        if (mMillisLeft < 0) {
-            mMillisLeft =
+        if (mCallerMillisLeft < 0) {
+            mCallerMillisLeft =
                     mEntry.dialect().callers().read(mHead).millisLeft().orElse(Long.MAX_VALUE);
         }
-        return StartUpWait.mayWait(mArrivedAt, mMillisLeft, now());
+        return StartUpWait.mayWait(mArrivedAt, mCallerMillisLeft, now());
     }
 
     private void perform(Step step) {
@@ -312,14 +312,14 @@
             send(send);
         } else if (step instanceof Step.Wait wait) {
             long millis = Math.max(1, wait.until() - now());
-            mWait =
+            mWaitTimer =
                     mEntry.loop()
                             .schedule(
                                     () -> perform(mForwarding.onWaitElapsed(now())),
                                     millis,
                                     TimeUnit.MILLISECONDS);
         } else if (step instanceof Step.AwaitSuccessor) {
-            follow();
+            promoteSuccessor();
         } else if (step instanceof Step.Refuse refuse) {
             refuse(refuse.code(), refuse.retryAfterMillis(), refuse.detail());
         } else if (step instanceof Step.Fail fail) {
@@ -338,11 +338,11 @@
     private void send(Step.Send send) {
         mChoice = send.choice();
         if (!mayUseKey()) {
-            String age = "age " + mEntry.keyAge();
-            perform(mForwarding.onKeyUnconfirmed(CallerRequests.UNCONFIRMED_RETRY_MILLIS, age));
+            String age = "age " + mEntry.confirmationAgeMillis();
+            perform(mForwarding.onKeyUnconfirmed(RequestAdmission.UNCONFIRMED_RETRY_MILLIS, age));
             return;
         }
-        mAnswer = ask(send);
+        mAnswer = startAttempt(send);
     }
 
     /**
@@ -351,13 +351,13 @@
      */
     private boolean mayUseKey() {
         boolean keyed = !mRequest.route().allowsAnonymous() && mEntry.routes().requiresKeys();
-        return !keyed || mForwarding.isAnswerStarted() || mEntry.isConfirmed();
+        return !keyed || mForwarding.isAnswerStarted() || mEntry.isConfigurationConfirmed();
     }
 
-    private TargetAnswer ask(Step.Send send) {
+    private TargetAnswer startAttempt(Step.Send send) {
         TargetAnswer answer =
                 new TargetAnswer(this, mEntry, mRequest, send.choice(), mBody.alloc());
-        mLog.routed(mRequest, send, mEntry.book(), mEntry.standing(), now());
+        mLog.routed(mRequest, send, mEntry.targetStates(), mEntry.configurationStatus(), now());
         mEntry.metrics().onAttempt();
         // What is heard of it at once is heard of the answer that is asked for here.
         if (mAnswer == null) {
@@ -373,93 +373,93 @@
      * Asks who is to go on, while the present answer is kept: if it were left first, whatever
      * befalls the other one would cut an answer whose target is at work.
      */
-    private void askSuccessor(Optional<Step.Send> send, String why) {
+    private void startSuccessor(Optional<Step.Send> send, String reason) {
         if (send.isEmpty()) {
             return;
         }
-        mSuccessorWhy = why;
-        ask(send.get());
+        mSuccessorReason = reason;
+        startAttempt(send.get());
         if (mForwarding.holdsEvents()) {
-            mHoldOver =
+            mHoldTimer =
                     mEntry.loop()
                             .schedule(
-                                    this::onHoldOver,
+                                    this::onHoldTimeout,
                                     Math.max(
                                             1,
-                                            mStream.eventAt() + mForwarding.holdMillis() - now()),
+                                            mStream.lastEventAt() + mForwarding.holdMillis() - now()),
                                     TimeUnit.MILLISECONDS);
         }
     }
 
     /** The successor doesn't begin in time: the caller has waited long enough for events. */
-    private void onHoldOver() {
+    private void onHoldTimeout() {
         if (!mEnded && mSuccessor != null) {
             logAttempt(mSuccessor, "dropped", "not begun in time");
-            dropSuccessor();
-            passHeld();
+            cancelSuccessor();
+            writeHeldEvents();
         }
     }
 
     /** The successor has begun. */
-    private void takeOver() {
+    private void switchToSuccessor() {
         mForwarding.onSuccessorStarted();
-        logAttempt(mAnswer, "moved", mSuccessorWhy);
-        leave(mAnswer);
-        follow();
+        logAttempt(mAnswer, "moved", mSuccessorReason);
+        abandon(mAnswer);
+        promoteSuccessor();
     }
 
     /** The successor is the only answer from now on. */
-    private void follow() {
+    private void promoteSuccessor() {
         mAnswer = mSuccessor;
         mChoice = mAnswer.choice();
         mSentAt = mAnswer.sentAt();
         mSuccessor = null;
-        endHold();
+        cancelHoldTimer();
         mStream.releaseHeld();
-        mSilence.start(mAnswer, mForwarding.unresponsiveTimeoutMillis());
+        mSilenceDetector.start(mAnswer, mForwarding.unresponsiveTimeoutMillis());
     }
 
     /** The successor is none: the present answer goes on as if it hadn't been asked. */
-    private void stay() {
+    private void keepCurrentAnswer() {
         mSuccessor = null;
-        endHold();
-        passHeld();
+        cancelHoldTimer();
+        writeHeldEvents();
     }
 
     /** The successor isn't wanted any more. */
-    private void dropSuccessor() {
+    private void cancelSuccessor() {
         if (mSuccessor != null) {
             mForwarding.onSuccessorDiscarded();
             mSuccessor.cancel();
             mSuccessor = null;
         }
-        endHold();
+        cancelHoldTimer();
     }
 
-    private void endHold() {
-        if (mHoldOver != null) {
-            mHoldOver.cancel(false);
-            mHoldOver = null;
+    private void cancelHoldTimer() {
+        if (mHoldTimer != null) {
+            mHoldTimer.cancel(false);
+            mHoldTimer = null;
         }
     }
 
-    private void passHeld() {
-        TargetAnswer from = mAnswer;
+    private void writeHeldEvents() {
+        TargetAnswer answer = mAnswer;
         EventSplitter.Event event;
         while ((event = mStream.nextHeld()) != null) {
-            if (mEnded || from == null || mAnswer != from) {
+            if (mEnded || answer == null || mAnswer != answer) {
                 event.bytes().release();
             } else {
-                passOn(from, event);
+                writeEvent(answer, event);
             }
         }
     }
 
-    private void passOn(TargetAnswer answer, EventSplitter.Event event) {
+    private void writeEvent(TargetAnswer answer, EventSplitter.Event event) {
         boolean numbered = event.number() != EventSplitter.NO_NUMBER;
         if (numbered && event.number() <= mForwarding.lastRelayedEvent()) {
             event.bytes().release();
-            answer.giveUp(
+            answer.fail(
                     ResultCode.ANSWER_SPOILED,
                     "event " + event.number() + " after " + mForwarding.lastRelayedEvent());
             return;
@@ -475,27 +475,27 @@
         }
         mStream.begin(mAnswer, now());
         long millis = mStream.firstEventMillis();
-        mEntry.book().onFirstEvent(mChoice, millis, now());
+        mEntry.targetStates().onFirstEvent(mChoice, millis, now());
         mEntry.metrics().onFirstEvent(millis, mChoice.expectedMillis());
     }
 
-    private void passAnswer() {
+    private void writeAnswer() {
         TargetAnswer answer = mAnswer;
         ByteBuf body = answer.takeBody();
-        mWhole = answer.facts().isSuccess();
+        mComplete = answer.answerHead().isSuccess();
         logAnswered();
         end();
         mCaller.answer(answer.status(), answer.headers(), body);
     }
 
-    private void refuse(ResultCode code, long retryAfterMillis, String why) {
-        logEnd(code, why);
+    private void refuse(ResultCode code, long retryAfterMillis, String reason) {
+        logEnd(code, reason);
         mEntry.metrics().onRefused(code);
         end();
         mCaller.answer(code, retryAfterMillis);
     }
 
-    private void onTimeOver() {
+    private void onDeadline() {
         if (mEnded) {
             return;
         }
@@ -505,31 +505,31 @@
     }
 
     private void onSilent(long millis) {
-        if (!mEnded && mAnswer != null && !mPaused && mayUseKey()) {
-            askSuccessor(mForwarding.onTargetUnresponsive(now()), "silent for " + millis + " ms");
+        if (!mEnded && mAnswer != null && !mReadingPaused && mayUseKey()) {
+            startSuccessor(mForwarding.onTargetUnresponsive(now()), "silent for " + millis + " ms");
         }
     }
 
     /** Wants nothing more of an answer, and keeps what a cut has to tell of it. */
-    private void leave(TargetAnswer answer) {
-        mSilence.stop();
+    private void abandon(TargetAnswer answer) {
+        mSilenceDetector.stop();
         answer.cancel();
-        if (answer.hasBegun()) {
+        if (answer.hasStartedRun()) {
             String target = answer.choice().target();
-            mLeft = new ExchangeLog.LeftRun(target, now() - answer.heardAt(), now());
+            mAbandoned = new ExchangeLog.AbandonedRun(target, now() - answer.lastHeardAt(), now());
         }
     }
 
     private void cancelAll() {
         if (mAnswer != null) {
-            leave(mAnswer);
+            abandon(mAnswer);
             mAnswer = null;
         }
         if (mSuccessor != null) {
             mSuccessor.cancel();
             mSuccessor = null;
         }
-        endHold();
+        cancelHoldTimer();
         mStream.releaseHeld();
     }
 
@@ -539,21 +539,21 @@
         }
         mEnded = true;
         if (mRequest != null) {
-            mStream.tellLasted(mEntry.shutdown(), mRequest, mWhole, mSentAt, now());
+            mStream.recordDuration(mEntry.shutdownAdmission(), mRequest, mComplete, mSentAt, now());
         }
-        mSilence.stop();
+        mSilenceDetector.stop();
         cancelAll();
         mBody.release();
-        if (mTimeOver != null) {
-            mTimeOver.cancel(false);
+        if (mDeadlineTimer != null) {
+            mDeadlineTimer.cancel(false);
         }
-        if (mWait != null) {
-            mWait.cancel(false);
+        if (mWaitTimer != null) {
+            mWaitTimer.cancel(false);
         }
     }
 
-    private void logAttempt(TargetAnswer answer, String outcome, String why) {
-        mLog.attemptFailed(id(), answer.choice(), outcome, why);
+    private void logAttempt(TargetAnswer answer, String outcome, String reason) {
+        mLog.attemptFailed(id(), answer.choice(), outcome, reason);
     }
 
     private void logAnswered() {
@@ -561,7 +561,7 @@
         mEntry.metrics().onAnswered(millis);
         mLog.answered(
                 id(),
-                mAnswer.facts().status(),
+                mAnswer.answerHead().status(),
                 mChoice,
                 mStream.firstEventMillis(),
                 mStream.longestPauseMillis(),
@@ -574,20 +574,20 @@
         mLog.cut(
                 mRequest,
                 cut,
-                mLeft,
+                mAbandoned,
                 new ExchangeLog.CutState(
                         now(),
                         mForwarding.lastRelayedEvent(),
                         mForwarding.runCount(),
-                        mEntry.retries().available(mRequest.service(), now()),
-                        mEntry.keyAge(),
-                        mVersionBegun,
-                        mEntry.version(),
+                        mEntry.retryBudget().available(mRequest.service(), now()),
+                        mEntry.confirmationAgeMillis(),
+                        mVersionAtStart,
+                        mEntry.configurationVersion(),
                         mEntry.drainMillis()));
     }
 
-    private void logEnd(ResultCode code, String why) {
-        mLog.ended(id(), code, why, mChoice, mEntry.standing(), now() - mArrivedAt);
+    private void logEnd(ResultCode code, String reason) {
+        mLog.failed(id(), code, reason, mChoice, mEntry.configurationStatus(), now() - mArrivedAt);
     }
 
     private String id() {
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/ExchangeLog.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/ExchangeLog.java
@@ -39,11 +39,11 @@
     void routed(
             ForwardRequest request,
             Step.Send send,
-            TargetSelector book,
-            ConfigurationStanding standing,
+            TargetSelector targetStates,
+            ConfigurationStatus configuration,
             long now) {
         Choice choice = send.choice();
-        ReportOrigin told = book.reportOrigin(choice.target());
+        ReportOrigin told = targetStates.reportOrigin(choice.target());
         mLog.write(
                 Event.ROUTED,
                 "request",
@@ -85,16 +85,16 @@
                 "heard_before_ms",
                 told.ageMillis(now),
                 "version",
-                standing.version(),
+                configuration.version(),
                 "index",
-                standing.index(),
+                configuration.logIndex(),
                 "confirmed_ms",
-                standing.confirmedMillis(),
+                configuration.confirmationAgeMillis(),
                 "confirmed_by",
-                standing.control());
+                configuration.confirmedBy());
     }
 
-    void attemptFailed(String request, Choice choice, String outcome, String why) {
+    void attemptFailed(String request, Choice choice, String outcome, String reason) {
         mLog.write(
                 Event.ATTEMPT_FAILED,
                 "request",
@@ -104,7 +104,7 @@
                 "outcome",
                 outcome,
                 "why",
-                why);
+                reason);
     }
 
     /**
@@ -114,7 +114,7 @@
      * @param status as the target gave it
      * @param choice whose answer it is
      * @param firstEventMillis from the last sending to the first event, -1 if it isn't a stream
-     * @param pauseMillis the longest time between two events
+     * @param longestPauseMillis the longest time between two events
      * @param lastEvent the number of the last event, -1 for none
      * @param millis from the request's arrival to the end
      */
@@ -123,7 +123,7 @@
             int status,
             Choice choice,
             long firstEventMillis,
-            long pauseMillis,
+            long longestPauseMillis,
             long lastEvent,
             long millis) {
         mLog.write(
@@ -139,7 +139,7 @@
                 "predicted_ms",
                 choice.expectedMillis(),
                 "pause_ms",
-                pauseMillis,
+                longestPauseMillis,
                 "last_event",
                 lastEvent,
                 "ms",
@@ -147,12 +147,12 @@
     }
 
     /** The request was refused or failed; {@code choice} is null if nothing was chosen. */
-    void ended(
+    void failed(
             String request,
             ResultCode code,
-            String why,
+            String reason,
             Choice choice,
-            ConfigurationStanding standing,
+            ConfigurationStatus configuration,
             long millis) {
         mLog.write(
                 Event.REFUSED,
@@ -161,19 +161,19 @@
                 "code",
                 code.label(),
                 "why",
-                why,
+                reason,
                 "target",
                 choice == null ? "" : choice.target(),
                 "ms",
                 millis,
                 "version",
-                standing.version(),
+                configuration.version(),
                 "index",
-                standing.index(),
+                configuration.logIndex(),
                 "confirmed_ms",
-                standing.confirmedMillis(),
+                configuration.confirmationAgeMillis(),
                 "confirmed_by",
-                standing.control());
+                configuration.confirmedBy());
     }
 
     /**
@@ -181,10 +181,10 @@
      *
      * @param request what was asked for
      * @param cut what was decided
-     * @param left the run that was left last
+     * @param abandoned the run that was left last
      * @param state what the decision rests on
      */
-    void cut(ForwardRequest request, Step.Abort cut, LeftRun left, CutState state) {
+    void cut(ForwardRequest request, Step.Abort cut, AbandonedRun abandoned, CutState state) {
         mLog.write(
                 Event.ANSWER_CUT,
                 "request",
@@ -194,13 +194,13 @@
                 "by",
                 cut.cause().label(),
                 "events",
-                state.events(),
+                state.lastEvent(),
                 "target",
-                left.target(),
+                abandoned.target(),
                 "heard_ms",
-                left.heardMillis(),
+                abandoned.silentMillis(),
                 "left_before_ms",
-                state.now() - left.leftAt(),
+                state.now() - abandoned.abandonedAt(),
                 "runs",
                 state.runs(),
                 "max_runs",
@@ -208,9 +208,9 @@
                 "retries_left",
                 (long) Math.floor(state.retriesLeft()),
                 "key_age_ms",
-                state.keyAgeMillis(),
+                state.confirmationAgeMillis(),
                 "version_begun",
-                state.versionBegun(),
+                state.versionAtStart(),
                 "version",
                 state.version(),
                 "drain_ms",
@@ -219,7 +219,7 @@
                 request.deadline() - state.now());
     }
 
-    void callerGone(String request, long millis) {
+    void callerDisconnected(String request, long millis) {
         mLog.write(Event.CALLER_GONE, "request", request, "after", millis);
     }
 
@@ -227,30 +227,30 @@
      * A run that was left, whole or not.
      *
      * @param target its target
-     * @param heardMillis how long before the target was last heard on it
-     * @param leftAt when it was left
+     * @param silentMillis how long before the target was last heard on it
+     * @param abandonedAt when it was left
      */
-    record LeftRun(String target, long heardMillis, long leftAt) {}
+    record AbandonedRun(String target, long silentMillis, long abandonedAt) {}
 
     /**
      * What stood when an answer was cut.
      *
      * @param now the time of the cut
-     * @param events the last event that was passed on
+     * @param lastEvent the last event that was passed on
      * @param runs at how many targets it may have run
      * @param retriesLeft second attempts that the service had left
-     * @param keyAgeMillis time since the configuration was confirmed
-     * @param versionBegun the configuration in force when the request came
+     * @param confirmationAgeMillis time since the configuration was confirmed
+     * @param versionAtStart the configuration in force when the request came
      * @param version the configuration in force at the cut
      * @param drainMillis time since the instance was told to shut down; empty if it wasn't
      */
     record CutState(
             long now,
-            long events,
+            long lastEvent,
             int runs,
             double retriesLeft,
-            long keyAgeMillis,
-            long versionBegun,
+            long confirmationAgeMillis,
+            long versionAtStart,
             long version,
             OptionalLong drainMillis) {}
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/HopByHop.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/HopByHopHeaders.java
@@ -26,7 +26,7 @@
 import java.util.function.Predicate;
 
 /** The headers that concern one connection only and are never passed on (RFC 9110, 7.6.1). */
-final class HopByHop {
+final class HopByHopHeaders {
     private static final Set<String> NAMES =
             Set.of(
                     "connection",
@@ -41,34 +41,34 @@
                     "content-length",
                     "expect");
 
-    private HopByHop() {}
+    private HopByHopHeaders() {}
 
     /**
      * Returns the headers that are passed on.
      *
      * @param headers those of the message that came
-     * @param alsoDropped names of others that aren't passed on
+     * @param isExcluded names of others that aren't passed on
      */
-    static HttpHeaders passedOn(HttpHeaders headers, Predicate<String> alsoDropped) {
-        HttpHeaders passed = new DefaultHttpHeaders();
-        Set<String> skipped = namesIn(headers);
+    static HttpHeaders endToEnd(HttpHeaders headers, Predicate<String> isExcluded) {
+        HttpHeaders endToEnd = new DefaultHttpHeaders();
+        Set<String> hopByHop = hopByHopNames(headers);
         for (Map.Entry<String, String> header : headers) {
             String name = header.getKey();
-            if (!skipped.contains(name.toLowerCase(Locale.ROOT)) && !alsoDropped.test(name)) {
-                passed.add(name, header.getValue());
+            if (!hopByHop.contains(name.toLowerCase(Locale.ROOT)) && !isExcluded.test(name)) {
+                endToEnd.add(name, header.getValue());
             }
         }
-        return passed;
+        return endToEnd;
     }
 
     /** Returns the names, in lower case, that a message's headers make hop-by-hop. */
-    private static Set<String> namesIn(HttpHeaders headers) {
-        List<String> listed = headers.getAll(HttpHeaderNames.CONNECTION);
-        if (listed.isEmpty()) {
+    private static Set<String> hopByHopNames(HttpHeaders headers) {
+        List<String> connectionValues = headers.getAll(HttpHeaderNames.CONNECTION);
+        if (connectionValues.isEmpty()) {
             return NAMES;
         }
         Set<String> names = new HashSet<>(NAMES);
-        for (String line : listed) {
+        for (String line : connectionValues) {
             for (String name : line.split(",")) {
                 names.add(name.trim().toLowerCase(Locale.ROOT));
             }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CallerRequests.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/RequestAdmission.java
@@ -29,11 +29,11 @@
 import org.quilldyke.manifest.RouteTable;
 
 /** Makes a request to be forwarded of what a caller sent, if the configuration allows it. */
-final class CallerRequests {
+final class RequestAdmission {
     /** Unrun requests that a later moment may serve come back after this, if not told otherwise. */
     static final long UNCONFIRMED_RETRY_MILLIS = 800;
 
-    private CallerRequests() {}
+    private RequestAdmission() {}
 
     /**
      * Returns what is asked for.
@@ -45,7 +45,7 @@
      * @throws QuilldykeException if the configuration isn't known or confirmed, the route or the
      *     key isn't in it, or the head can't be read; nothing has run then
      */
-    static ForwardRequest admit(Entry entry, HttpRequest head, ByteBuf body, long arrivedAt)
+    static ForwardRequest admit(EntryContext entry, HttpRequest head, ByteBuf body, long arrivedAt)
             throws QuilldykeException {
         RouteTable routes = entry.routes();
         if (routes == null) {
@@ -56,7 +56,7 @@
         String path = head.uri().split("[?#]", 2)[0];
         Optional<Route> found = routes.route(head.headers().get(HttpHeaderNames.HOST), path);
         boolean open = found.isPresent() && (found.get().allowsAnonymous() || !routes.requiresKeys());
-        if (!open && !entry.isConfirmed()) {
+        if (!open && !entry.isConfigurationConfirmed()) {
             throw unconfirmed();
         }
         if (found.isEmpty()) {
@@ -67,7 +67,7 @@
         if (!open && owner.isEmpty()) {
             throw denied(entry, ResultCode.UNKNOWN_TOKEN, "");
         }
-        long left = Math.min(route.timeoutMillis(), facts.millisLeft().orElse(Long.MAX_VALUE));
+        long timeoutMillis = Math.min(route.timeoutMillis(), facts.millisLeft().orElse(Long.MAX_VALUE));
         return new ForwardRequest(
                 facts.id(),
                 route,
@@ -77,14 +77,14 @@
                 route.carriesPrompts() ? facts.prompt() : Optional.empty(),
                 body.readableBytes(),
                 arrivedAt,
-                arrivedAt + left,
+                arrivedAt + timeoutMillis,
                 fingerprint(owner, head, body),
                 facts.lastEvent().orElse(-1));
     }
 
     /** What isn't here may have been added meanwhile, and no caller comes back after a denial. */
-    private static QuilldykeException denied(Entry entry, ResultCode code, String detail) {
-        return entry.mayDeny() ? QuilldykeException.notRun(code, detail) : unconfirmed();
+    private static QuilldykeException denied(EntryContext entry, ResultCode code, String detail) {
+        return entry.isConfigurationCurrent() ? QuilldykeException.notRun(code, detail) : unconfirmed();
     }
 
     private static QuilldykeException unconfirmed() {
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/SilenceWatch.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/SilenceDetector.java
@@ -21,18 +21,18 @@
 import org.quilldyke.caller.RestartReport;
 
 /** Looks, and looks again, whether the target of an answer has been silent for too long. */
-final class SilenceWatch {
+final class SilenceDetector {
     /** How long after a look that found silence the next one comes. */
-    private static final long STEP_MILLIS = 200;
+    private static final long RECHECK_MILLIS = 200;
 
-    private final Entry mEntry;
+    private final EntryContext mEntry;
     private final LongConsumer mOnSilent;
     private ScheduledFuture<?> mTimer;
     private TargetAnswer mAnswer;
-    private long mMillis;
+    private long mMaxSilenceMillis;
 
     /** The word that the target has started again, null if it isn't told or has proved wrong. */
-    private RestartReport mWord;
+    private RestartReport mRestartReport;
 
     /**
      * Makes a watch that watches nothing yet.
@@ -40,25 +40,25 @@
      * @param entry whose thread and clock are used
      * @param onSilent told at each look that finds silence, with its milliseconds
      */
-    SilenceWatch(Entry entry, LongConsumer onSilent) {
+    SilenceDetector(EntryContext entry, LongConsumer onSilent) {
         mEntry = entry;
         mOnSilent = onSilent;
     }
 
     /** Watches an answer instead of what was watched before; never silent for that long: not. */
-    void start(TargetAnswer answer, long millis) {
+    void start(TargetAnswer answer, long maxSilenceMillis) {
         stop();
         mAnswer = answer;
-        mMillis = millis;
-        mWord = null;
-        lookWhenSilent();
+        mMaxSilenceMillis = maxSilenceMillis;
+        mRestartReport = null;
+        scheduleNextCheck();
     }
 
     /** Notes that the answer's target is said to have started again: silence tells more now. */
-    void onTargetEnded() {
+    void onRestartReported() {
         stop();
-        mWord = new RestartReport(mEntry.now());
-        lookWhenSilent();
+        mRestartReport = new RestartReport(mEntry.now());
+        scheduleNextCheck();
     }
 
     void stop() {
@@ -68,33 +68,33 @@
         }
     }
 
-    private void look() {
+    private void check() {
         long now = mEntry.now();
-        if (now < silentAt()) {
-            lookWhenSilent();
+        if (now < silenceTimeoutAt()) {
+            scheduleNextCheck();
             return;
         }
-        lookAfter(STEP_MILLIS);
-        mOnSilent.accept(now - mAnswer.heardAt());
+        scheduleCheckAfter(RECHECK_MILLIS);
+        mOnSilent.accept(now - mAnswer.lastHeardAt());
     }
 
-    private void lookWhenSilent() {
-        if (mMillis != Long.MAX_VALUE) {
-            lookAfter(Math.max(1, silentAt() - mEntry.now()));
+    private void scheduleNextCheck() {
+        if (mMaxSilenceMillis != Long.MAX_VALUE) {
+            scheduleCheckAfter(Math.max(1, silenceTimeoutAt() - mEntry.now()));
         }
     }
 
     /** Returns when the target has been silent for too long if it isn't heard before. */
-    private long silentAt() {
-        long heardAt = mAnswer.heardAt();
-        if (mWord != null && mWord.isRefuted(heardAt)) {
-            mWord = null;
+    private long silenceTimeoutAt() {
+        long lastHeardAt = mAnswer.lastHeardAt();
+        if (mRestartReport != null && mRestartReport.isRefuted(lastHeardAt)) {
+            mRestartReport = null;
         }
-        long silentAt = heardAt + mMillis;
-        return mWord == null ? silentAt : Math.min(silentAt, mWord.acceptedAt(heardAt));
+        long timeoutAt = lastHeardAt + mMaxSilenceMillis;
+        return mRestartReport == null ? timeoutAt : Math.min(timeoutAt, mRestartReport.acceptedAt(lastHeardAt));
     }
 
-    private void lookAfter(long millis) {
-        mTimer = mEntry.loop().schedule(this::look, millis, TimeUnit.MILLISECONDS);
+    private void scheduleCheckAfter(long millis) {
+        mTimer = mEntry.loop().schedule(this::check, millis, TimeUnit.MILLISECONDS);
     }
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/TargetAnswer.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/TargetAnswer.java
@@ -43,7 +43,7 @@
     private static final long NO_EVENT = -1;
 
     private final Exchange mExchange;
-    private final Entry mEntry;
+    private final EntryContext mEntry;
     private final ForwardRequest mRequest;
     private final Choice mChoice;
     private final ByteBufAllocator mAllocator;
@@ -51,16 +51,16 @@
     private HttpResponse mHead;
     private AnswerFacts mFacts;
     private ByteBuf mBody;
-    private EventSplitter mEvents;
+    private EventSplitter mEventSplitter;
     private long mSentAt;
-    private long mHeardAt;
+    private long mLastHeardAt;
 
     /** When its last event came; the next one tells no pace if there was none, or a pause. */
-    private long mEventAt = NO_EVENT;
+    private long mLastEventAt = NO_EVENT;
 
     TargetAnswer(
             Exchange exchange,
-            Entry entry,
+            EntryContext entry,
             ForwardRequest request,
             Choice choice,
             ByteBufAllocator allocator) {
@@ -69,12 +69,12 @@
         mRequest = request;
         mChoice = choice;
         mAllocator = allocator;
-        mHeardAt = entry.now();
+        mLastHeardAt = entry.now();
     }
 
     /** Sends the request. */
     void start(FullHttpRequest out) {
-        mEntry.onOpened(mChoice.target(), mExchange);
+        mEntry.onAttemptOpened(mChoice.target(), mExchange);
         mAttempt =
                 mEntry.pool().send(mChoice.target(), mChoice.address(), out, mRequest.id(), this);
     }
@@ -84,14 +84,14 @@
         if (mAttempt != null) {
             mAttempt.cancel();
         }
-        close();
-        release();
+        closeAttempt();
+        releaseBuffers();
     }
 
     /** Pauses or resumes the reading: while the caller doesn't read, no silence is the target's. */
     void setReading(boolean reading) {
-        mHeardAt = mEntry.now();
-        mEventAt = NO_EVENT;
+        mLastHeardAt = mEntry.now();
+        mLastEventAt = NO_EVENT;
         if (mAttempt != null) {
             mAttempt.setReading(reading);
         }
@@ -101,7 +101,7 @@
         return mChoice;
     }
 
-    boolean isAt(String target) {
+    boolean isFrom(String target) {
         return mChoice.target().equals(target);
     }
 
@@ -111,16 +111,16 @@
     }
 
     /** Returns when the target was heard last on this request, or else was chosen. */
-    long heardAt() {
-        return mHeardAt;
+    long lastHeardAt() {
+        return mLastHeardAt;
     }
 
     /** Returns whether the target says that it runs the request, or has run it. */
-    boolean hasBegun() {
+    boolean hasStartedRun() {
         return mFacts != null && !mFacts.head().isNotRun();
     }
 
-    AnswerHead facts() {
+    AnswerHead answerHead() {
         return mFacts.head();
     }
 
@@ -130,7 +130,7 @@
 
     /** Returns the headers for the caller. */
     HttpHeaders headers() {
-        return HopByHop.passedOn(mHead.headers(), name -> false);
+        return HopByHopHeaders.endToEnd(mHead.headers(), name -> false);
     }
 
     /** Returns the whole body of an answer that isn't a stream; the caller releases it. */
@@ -141,15 +141,15 @@
     }
 
     @Override
-    public void onUnsent(String why) {
-        close();
-        mExchange.onUnsent(this, why);
+    public void onUnsent(String reason) {
+        closeAttempt();
+        mExchange.onUnsent(this, reason);
     }
 
     @Override
     public void onSending() {
         mSentAt = mEntry.now();
-        mHeardAt = mSentAt;
+        mLastHeardAt = mSentAt;
         mExchange.onSending(this);
     }
 
@@ -157,21 +157,21 @@
     public void onHead(HttpResponse head) {
         mHead = head;
         mFacts = mEntry.dialect().targets().read(head);
-        if (!facts().wrongTarget()) {
+        if (!answerHead().wrongTarget()) {
             // Else somebody else may have answered: no sign that this target is there.
-            onHeard();
+            recordLiveness();
         }
-        noteWeights();
-        noteLimit();
+        recordWeights();
+        recordLimit();
         if (head.headers().contains(HttpHeaderNames.CONTENT_ENCODING)) {
-            giveUp(ResultCode.ANSWER_SPOILED, "encoded");
-        } else if (facts().isNotRun()) {
+            fail(ResultCode.ANSWER_SPOILED, "encoded");
+        } else if (answerHead().isNotRun()) {
             mAttempt.ignoreRest();
-            close();
+            closeAttempt();
             mExchange.onRefused(this);
-        } else if (facts().stream() && facts().isSuccess()) {
-            mEvents = new EventSplitter(mAllocator);
-            mExchange.onStream(this);
+        } else if (answerHead().stream() && answerHead().isSuccess()) {
+            mEventSplitter = new EventSplitter(mAllocator);
+            mExchange.onStreamStart(this);
         } else {
             mBody = mAllocator.buffer();
         }
@@ -179,53 +179,53 @@
 
     @Override
     public void onBody(ByteBuf bytes) {
-        onHeard();
-        if (mEvents != null) {
+        recordLiveness();
+        if (mEventSplitter != null) {
             onEventBytes(bytes);
         } else if (mBody.readableBytes() + bytes.readableBytes() > MAX_ANSWER_BYTES) {
-            giveUp(ResultCode.ANSWER_TOO_LARGE, "over " + MAX_ANSWER_BYTES + " bytes");
+            fail(ResultCode.ANSWER_TOO_LARGE, "over " + MAX_ANSWER_BYTES + " bytes");
         } else {
             mBody.writeBytes(bytes);
         }
     }
 
     @Override
-    public void onEnd() {
+    public void onComplete() {
         if (!isFramed()) {
             // Its end looks like that of its target.
             onRunLost();
-        } else if (facts().isSuccess() && facts().isGenuine()) {
-            mEntry.crashes().onCompleted(mRequest.fingerprint());
+        } else if (answerHead().isSuccess() && answerHead().isGenuine()) {
+            mEntry.crashDetector().onRunCompleted(mRequest.fingerprint());
         }
-        close();
-        if (mEvents == null) {
-            mExchange.onWhole(this);
-        } else if (mEvents.partBytes() > 0) {
-            onBroken(ResultCode.STREAM_BROKEN, "the end of the last event is missing");
+        closeAttempt();
+        if (mEventSplitter == null) {
+            mExchange.onCompleteAnswer(this);
+        } else if (mEventSplitter.incompleteBytes() > 0) {
+            onFailed(ResultCode.STREAM_BROKEN, "the end of the last event is missing");
         } else {
-            release();
+            releaseBuffers();
             mExchange.onStreamEnd(this);
         }
     }
 
     @Override
-    public void onBroken(ResultCode code, String why) {
+    public void onFailed(ResultCode code, String reason) {
         if (code == ResultCode.TARGET_LOST) {
             onRunLost();
         }
-        close();
-        release();
-        mExchange.onBroken(this, code, why);
+        closeAttempt();
+        releaseBuffers();
+        mExchange.onFailed(this, code, reason);
     }
 
     /** Takes the answer for none, and says so. */
-    void giveUp(ResultCode code, String why) {
+    void fail(ResultCode code, String reason) {
         cancel();
-        mExchange.onBroken(this, code, why);
+        mExchange.onFailed(this, code, reason);
     }
 
     private void onRunLost() {
-        mEntry.crashes().onRunLost(mChoice.target(), mRequest.fingerprint());
+        mEntry.crashDetector().onRunLost(mChoice.target(), mRequest.fingerprint());
     }
 
     private boolean isFramed() {
@@ -233,68 +233,68 @@
     }
 
     private void onEventBytes(ByteBuf bytes) {
-        for (EventSplitter.Event event : mEvents.add(bytes)) {
+        for (EventSplitter.Event event : mEventSplitter.add(bytes)) {
             if (mAttempt == null) {
                 event.bytes().release();
             } else {
-                notePace();
+                recordEventInterval();
                 mExchange.onEvent(this, event);
             }
         }
-        if (mAttempt != null && mEvents.partBytes() > MAX_EVENT_BYTES) {
-            giveUp(ResultCode.ANSWER_SPOILED, "an event over " + MAX_EVENT_BYTES + " bytes");
+        if (mAttempt != null && mEventSplitter.incompleteBytes() > MAX_EVENT_BYTES) {
+            fail(ResultCode.ANSWER_SPOILED, "an event over " + MAX_EVENT_BYTES + " bytes");
         }
     }
 
-    private void notePace() {
-        if (mEventAt != NO_EVENT) {
-            mEntry.book().onEvent(mChoice.target(), mHeardAt - mEventAt, mHeardAt);
+    private void recordEventInterval() {
+        if (mLastEventAt != NO_EVENT) {
+            mEntry.targetStates().onEvent(mChoice.target(), mLastHeardAt - mLastEventAt, mLastHeardAt);
         }
-        mEventAt = mHeardAt;
+        mLastEventAt = mLastHeardAt;
     }
 
-    private void onHeard() {
-        mHeardAt = mEntry.now();
-        mEntry.book().onDataReceived(mChoice.target(), mHeardAt);
+    private void recordLiveness() {
+        mLastHeardAt = mEntry.now();
+        mEntry.targetStates().onDataReceived(mChoice.target(), mLastHeardAt);
     }
 
-    private void noteWeights() {
+    private void recordWeights() {
         if (mFacts.weights().isPresent() && mRequest.prompt().isPresent()) {
             String model = mRequest.prompt().get().model();
             long weights = mFacts.weights().getAsLong();
-            mEntry.book().onWeightsReported(mChoice.target(), model, weights);
+            mEntry.targetStates().onWeightsReported(mChoice.target(), model, weights);
         }
     }
 
     /** Only who has run a request says by naming no limit that there is none. */
-    private void noteLimit() {
+    private void recordLimit() {
         LimitFact limit = mFacts.limit();
         if (limit.isRead() && (limit.perSecond().isPresent() || hasRun())) {
             double perSecond = limit.perSecond().orElse(AdvertisedLimit.NONE);
-            mEntry.onLimitHeard(new AdvertisedLimit(mChoice.target(), perSecond, mHeardAt));
+            mEntry.onLimitInAnswer(new AdvertisedLimit(mChoice.target(), perSecond, mLastHeardAt));
         }
     }
 
     private boolean hasRun() {
-        return facts().isGenuine() && !facts().isNotRun();
+        return answerHead().isGenuine() && !answerHead().isNotRun();
     }
 
     /** The attempt is over, whatever became of it. */
-    private void close() {
+    private void closeAttempt() {
         if (mAttempt != null) {
             mAttempt = null;
-            mEntry.onClosed(mChoice.target(), mExchange);
+            mEntry.onAttemptClosed(mChoice.target(), mExchange);
         }
     }
 
-    private void release() {
+    private void releaseBuffers() {
         if (mBody != null) {
             mBody.release();
             mBody = null;
         }
-        if (mEvents != null) {
-            mEvents.release();
-            mEvents = null;
+        if (mEventSplitter != null) {
+            mEventSplitter.release();
+            mEventSplitter = null;
         }
     }
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/TargetRequests.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/TargetRequests.java
@@ -51,7 +51,7 @@
         FullHttpRequest out =
                 new DefaultFullHttpRequest(
                         HttpVersion.HTTP_1_1, head.method(), head.uri(), body.retainedDuplicate());
-        out.headers().add(HopByHop.passedOn(head.headers(), dialect.callers()::isReserved));
+        out.headers().add(HopByHopHeaders.endToEnd(head.headers(), dialect.callers()::isReserved));
         boolean hasBody =
                 body.isReadable()
                         || head.headers().contains(HttpHeaderNames.CONTENT_LENGTH)
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CacheWatch.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CacheWatch.java
@@ -25,7 +25,7 @@
 import org.quilldyke.daemon.log.EventLog;
 import org.quilldyke.engine.TargetReport;
 import org.quilldyke.gateway.dialect.CacheEvents;
-import org.quilldyke.gateway.engine.EngineOrders;
+import org.quilldyke.gateway.engine.EngineClient;
 import org.quilldyke.gateway.instance.NettyLoop;
 import org.quilldyke.gateway.instance.proto.CacheNews;
 import org.quilldyke.manifest.Manifest;
@@ -41,7 +41,7 @@
 final class CacheWatch {
     private static final long RETRY_MILLIS = 400;
 
-    private final EngineOrders mEngines;
+    private final EngineClient mEngines;
     private final NettyLoop mLoop;
     private final EventLog mLog;
     private final Consumer<CacheNews> mTell;
@@ -49,7 +49,7 @@
     private Map<String, Service> mServices = Map.of();
     private boolean mLeads;
 
-    CacheWatch(EngineOrders engines, NettyLoop loop, EventLog log, Consumer<CacheNews> tell) {
+    CacheWatch(EngineClient engines, NettyLoop loop, EventLog log, Consumer<CacheNews> tell) {
         mEngines = engines;
         mLoop = loop;
         mLog = log;
@@ -110,7 +110,7 @@
         if (!mLeads || mReaders.get(reader.holder()) != reader) {
             return;
         }
-        mEngines.watchCache(
+        mEngines.pollCacheEvents(
                 reader.address(),
                 reader.next(),
                 events -> mLoop.execute(() -> onAnswer(reader, events)));
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/ControlNode.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/ControlNode.java
@@ -38,8 +38,8 @@
 import org.quilldyke.engine.TargetReport;
 import org.quilldyke.gateway.dialect.ControlCall;
 import org.quilldyke.gateway.dialect.ControlDialect;
-import org.quilldyke.gateway.engine.EngineOrders;
-import org.quilldyke.gateway.engine.RefusedNews;
+import org.quilldyke.gateway.engine.EngineClient;
+import org.quilldyke.gateway.engine.RefusalLog;
 import org.quilldyke.gateway.instance.Compression;
 import org.quilldyke.gateway.instance.NettyLoop;
 import org.quilldyke.gateway.instance.Peers;
@@ -103,9 +103,9 @@
             NettyLoop loop,
             LongSupplier clock,
             EventLog log,
-            EngineOrders orders,
+            EngineClient orders,
             ControlDialect dialect,
-            RefusedNews refused,
+            RefusalLog refused,
             long startedAt)
             throws QuilldykeException {
         mLoop = loop;
@@ -166,7 +166,7 @@
         onState(mMachine.state());
     }
 
-    private TargetSpread spread(long reportMillis, RefusedNews refused) {
+    private TargetSpread spread(long reportMillis, RefusalLog refused) {
         return new TargetSpread(
                 mPeers::sendToAll,
                 mDeliveries,
@@ -196,9 +196,9 @@
             NettyLoop loop,
             LongSupplier clock,
             EventLog log,
-            EngineOrders orders,
+            EngineClient orders,
             ControlDialect dialect,
-            RefusedNews refused,
+            RefusalLog refused,
             long startedAt)
             throws QuilldykeException {
         ControlNode node =
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/RestartMemory.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/RestartMemory.java
@@ -33,7 +33,7 @@
 import org.quilldyke.daemon.log.Event;
 import org.quilldyke.daemon.log.EventLog;
 import org.quilldyke.engine.TargetReport;
-import org.quilldyke.gateway.engine.RefusedNews;
+import org.quilldyke.gateway.engine.RefusalLog;
 import org.quilldyke.gateway.instance.TargetFrames;
 import org.quilldyke.gateway.instance.proto.CacheNews;
 import org.quilldyke.gateway.instance.proto.Caches;
@@ -60,12 +60,12 @@
     private final DataFolder mFolder;
     private final DiskQueue mDisk;
     private final EventLog mLog;
-    private final RefusedNews mRefused;
+    private final RefusalLog mRefused;
     private final String mOwner;
     private final Set<String> mSaving = new HashSet<>();
 
     private RestartMemory(
-            DataFolder folder, DiskQueue disk, EventLog log, RefusedNews refused, String owner) {
+            DataFolder folder, DiskQueue disk, EventLog log, RefusalLog refused, String owner) {
         mFolder = folder;
         mDisk = disk;
         mLog = log;
@@ -79,13 +79,13 @@
      * @param owner the process's address
      */
     static RestartMemory in(
-            DataFolder folder, ControlLoop loop, EventLog log, RefusedNews refused, String owner) {
+            DataFolder folder, ControlLoop loop, EventLog log, RefusalLog refused, String owner) {
         return on(DiskQueue.create(loop, log), folder, log, refused, owner);
     }
 
     /** Returns a process's memory in a folder whose writes the given queue carries out. */
     static RestartMemory on(
-            DiskQueue disk, DataFolder folder, EventLog log, RefusedNews refused, String owner) {
+            DiskQueue disk, DataFolder folder, EventLog log, RefusalLog refused, String owner) {
         return new RestartMemory(folder, disk, log, refused, owner);
     }
 
@@ -97,7 +97,7 @@
             try {
                 reports.add(TargetFrames.decode(target).asRestored());
             } catch (QuilldykeException e) {
-                mRefused.onRefused(RefusedNews.Source.MEMORY, target.getId(), e);
+                mRefused.onRefused(RefusalLog.Source.MEMORY, target.getId(), e);
             }
         }
         return reports;
@@ -179,7 +179,7 @@
                         && Arrays.equals(stored, 0, head.length, head, 0, head.length);
         if (!isOurs && stored.length > 0) {
             mRefused.onRefused(
-                    RefusedNews.Source.MEMORY,
+                    RefusalLog.Source.MEMORY,
                     "",
                     QuilldykeException.notRun(ResultCode.REPORT_UNREADABLE, "another's memory"));
         }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/TargetSpread.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/TargetSpread.java
@@ -31,7 +31,7 @@
 import org.quilldyke.engine.LeaveOutcome;
 import org.quilldyke.engine.TargetRegistry;
 import org.quilldyke.engine.TargetReport;
-import org.quilldyke.gateway.engine.RefusedNews;
+import org.quilldyke.gateway.engine.RefusalLog;
 import org.quilldyke.gateway.instance.TargetFrames;
 import org.quilldyke.gateway.instance.proto.Alive;
 import org.quilldyke.gateway.instance.proto.PeerFrame;
@@ -76,7 +76,7 @@
     private final LongSupplier mClock;
     private final TargetLog mLog;
     private final RestartMemory mMemory;
-    private final RefusedNews mRefused;
+    private final RefusalLog mRefused;
     private final long mLapseMillis;
     private final long mForgetAt;
     private boolean mToSave;
@@ -92,7 +92,7 @@
             LongSupplier clock,
             EventLog log,
             RestartMemory memory,
-            RefusedNews refused,
+            RefusalLog refused,
             long reportMillis) {
         mPeers = peers;
         mDeliveries = deliveries;
@@ -285,7 +285,7 @@
             }
             return mRegistry.onReport(report, now - target.getAgeMs());
         } catch (QuilldykeException e) {
-            mRefused.onRefused(RefusedNews.Source.INSTANCE, target.getId(), e);
+            mRefused.onRefused(RefusalLog.Source.INSTANCE, target.getId(), e);
             return false;
         }
     }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/WeightsKeeper.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/WeightsKeeper.java
@@ -25,7 +25,7 @@
 import org.quilldyke.daemon.log.EventLog;
 import org.quilldyke.engine.TargetReport;
 import org.quilldyke.gateway.dialect.LoadOrder;
-import org.quilldyke.gateway.engine.EngineOrders;
+import org.quilldyke.gateway.engine.EngineClient;
 import org.quilldyke.gateway.instance.NettyLoop;
 import org.quilldyke.gateway.instance.proto.Loading;
 import org.quilldyke.gateway.instance.proto.ModelWeights;
@@ -49,7 +49,7 @@
     private final Group mGroup;
     private final Proposals mProposals;
     private final TargetSpread mTargets;
-    private final EngineOrders mOrders;
+    private final EngineClient mOrders;
     private final NettyLoop mLoop;
     private final LongSupplier mClock;
     private final EventLog mLog;
@@ -161,7 +161,7 @@
             return;
         }
         LoadPlanner planner = mPlanner;
-        mOrders.ask(
+        mOrders.requestStatus(
                 address.get(), status -> mLoop.execute(() -> onStatus(planner, target, status)));
     }
 
@@ -203,7 +203,7 @@
                         mFence,
                         action.revision());
         LoadPlanner planner = mPlanner;
-        mOrders.order(
+        mOrders.sendOrder(
                 address.get(),
                 order,
                 outcome -> mLoop.execute(() -> onOrdered(planner, action.target(), outcome)));
@@ -242,7 +242,7 @@
             Group group,
             Proposals proposals,
             TargetSpread targets,
-            EngineOrders orders,
+            EngineClient orders,
             NettyLoop loop,
             LongSupplier clock,
             EventLog log,
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/Attempt.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/Attempt.java
@@ -36,7 +36,7 @@
      */
     public void cancel() {
         mCancelled = true;
-        mListener = SilentListener.INSTANCE;
+        mListener = NoOpAttemptListener.INSTANCE;
         if (mConnection != null) {
             mConnection.cancel(this);
         } else {
@@ -46,7 +46,7 @@
 
     /** Wants no more of the answer, which is short or at its end; the connection stays of use. */
     public void ignoreRest() {
-        mListener = SilentListener.INSTANCE;
+        mListener = NoOpAttemptListener.INSTANCE;
     }
 
     /** Pauses or resumes the reading of the answer. */
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/AttemptListener.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/AttemptListener.java
@@ -22,7 +22,7 @@
 /** Hears what becomes of a request that was sent to a target. Called on the traffic thread. */
 public interface AttemptListener {
     /** The target couldn't be reached; no byte of the request was sent. */
-    void onUnsent(String why);
+    void onUnsent(String reason);
 
     /** The first byte is about to be sent. */
     void onSending();
@@ -34,8 +34,8 @@
     void onBody(ByteBuf bytes);
 
     /** The answer is whole. */
-    void onEnd();
+    void onComplete();
 
     /** The answer broke off, never came, or can't be what was asked for; nothing else follows. */
-    void onBroken(ResultCode code, String why);
+    void onFailed(ResultCode code, String reason);
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/EngineOrders.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/EngineClient.java
@@ -36,7 +36,7 @@
 import org.quilldyke.weights.OrderOutcome;
 
 /** Asks engines for their status and gives them orders. Safe for use by several threads. */
-public final class EngineOrders {
+public final class EngineClient {
     /**
      * An engine in reach answers within some 10 ms. An order without an answer may be carried out
      * seconds later, and the engine serves nothing until it is given again; the revision that it
@@ -51,15 +51,15 @@
 
     private final EventLoop mLoop;
     private final TargetDialect mDialect;
-    private final TargetPool mPool;
-    private final RefusedNews mRefused;
+    private final TargetConnectionPool mPool;
+    private final RefusalLog mRefusals;
 
-    private EngineOrders(
-            EventLoop loop, TargetDialect dialect, LongSupplier clock, RefusedNews refused) {
+    private EngineClient(
+            EventLoop loop, TargetDialect dialect, LongSupplier clock, RefusalLog refusals) {
         mLoop = loop;
         mDialect = dialect;
-        mPool = TargetPool.create(loop, dialect, clock);
-        mRefused = refused;
+        mPool = TargetConnectionPool.create(loop, dialect, clock);
+        mRefusals = refusals;
     }
 
     /**
@@ -68,56 +68,56 @@
      * @param loop the traffic thread, which does the work
      * @param dialect how engines speak
      * @param clock monotonic milliseconds
-     * @param refused takes notice of answers that can't be read
+     * @param refusals takes notice of answers that can't be read
      */
-    public static EngineOrders create(
-            EventLoop loop, TargetDialect dialect, LongSupplier clock, RefusedNews refused) {
-        return new EngineOrders(loop, dialect, clock, refused);
+    public static EngineClient create(
+            EventLoop loop, TargetDialect dialect, LongSupplier clock, RefusalLog refusals) {
+        return new EngineClient(loop, dialect, clock, refusals);
     }
 
     /**
      * Asks for an engine's status; {@code done} hears it on the traffic thread, or that none came.
      */
-    public void ask(String address, Consumer<Optional<EngineStatus>> done) {
+    public void requestStatus(String address, Consumer<Optional<EngineStatus>> callback) {
         send(
                 address,
                 mDialect.statusRequest(address),
                 TIMEOUT_MILLIS,
                 (status, body) ->
-                        done.accept(status == 200 ? read(address, body) : Optional.empty()));
+                        callback.accept(status == 200 ? readStatus(address, body) : Optional.empty()));
     }
 
     /** Gives an order; {@code done} hears on the traffic thread what became of it. */
-    public void order(String address, LoadOrder order, Consumer<OrderOutcome> done) {
+    public void sendOrder(String address, LoadOrder order, Consumer<OrderOutcome> callback) {
         send(
                 address,
                 mDialect.orderRequest(address, order),
                 TIMEOUT_MILLIS,
-                (status, body) -> done.accept(outcome(order.target(), status, body)));
+                (status, body) -> callback.accept(outcome(order.target(), status, body)));
     }
 
     /**
      * Waits for changes in the cache of an engine or a store; {@code done} hears them on the
      * traffic thread, or that no answer came.
      */
-    public void watchCache(String address, long since, Consumer<Optional<CacheEvents>> done) {
+    public void pollCacheEvents(String address, long since, Consumer<Optional<CacheEvents>> callback) {
         send(
                 address,
                 mDialect.cacheEventsRequest(address, since),
                 CACHE_TIMEOUT_MILLIS,
                 (status, body) ->
-                        done.accept(status == 200 ? readEvents(address, body) : Optional.empty()));
+                        callback.accept(status == 200 ? readEvents(address, body) : Optional.empty()));
     }
 
     private Optional<CacheEvents> readEvents(String address, byte[] body) {
         try {
             CacheEvents events = mDialect.readCacheEvents(body);
             if (events.unreadable() > 0) {
-                mRefused.onEventsLeftOut(address, events.unreadable());
+                mRefusals.onEventsSkipped(address, events.unreadable());
             }
             return Optional.of(events);
         } catch (QuilldykeException e) {
-            mRefused.onRefused(RefusedNews.Source.CACHE, address, e);
+            mRefusals.onRefused(RefusalLog.Source.CACHE, address, e);
             return Optional.empty();
         }
     }
@@ -126,7 +126,7 @@
         try {
             return outcome(status).ifFrom(target, mDialect.readOrdered(body));
         } catch (QuilldykeException e) {
-            mRefused.onRefused(RefusedNews.Source.ORDER, target, e);
+            mRefusals.onRefused(RefusalLog.Source.ORDER, target, e);
             return OrderOutcome.UNKNOWN;
         }
     }
@@ -141,11 +141,11 @@
         };
     }
 
-    private Optional<EngineStatus> read(String address, byte[] body) {
+    private Optional<EngineStatus> readStatus(String address, byte[] body) {
         try {
             return Optional.of(mDialect.readStatus(body));
         } catch (QuilldykeException e) {
-            mRefused.onRefused(RefusedNews.Source.STATUS, address, e);
+            mRefusals.onRefused(RefusalLog.Source.STATUS, address, e);
             return Optional.empty();
         }
     }
@@ -154,13 +154,13 @@
             String address,
             FullHttpRequest request,
             long timeoutMillis,
-            BiConsumer<Integer, byte[]> done) {
-        mLoop.execute(() -> new Call(address, request, timeoutMillis, done));
+            BiConsumer<Integer, byte[]> callback) {
+        mLoop.execute(() -> new Call(address, request, timeoutMillis, callback));
     }
 
     /** One call; its end is told once, with status 0 if there was no answer. */
     private final class Call implements AttemptListener {
-        private final BiConsumer<Integer, byte[]> mDone;
+        private final BiConsumer<Integer, byte[]> mCallback;
         private final Attempt mAttempt;
         private final ScheduledFuture<?> mTimer;
         private final ByteBuf mBody = Unpooled.buffer();
@@ -171,14 +171,14 @@
                 String address,
                 FullHttpRequest request,
                 long timeoutMillis,
-                BiConsumer<Integer, byte[]> done) {
-            mDone = done;
+                BiConsumer<Integer, byte[]> callback) {
+            mCallback = callback;
             mTimer = mLoop.schedule(this::onTimeout, timeoutMillis, TimeUnit.MILLISECONDS);
             mAttempt = mPool.send(address, address, request, "", this);
         }
 
         @Override
-        public void onUnsent(String why) {
+        public void onUnsent(String reason) {
             end(0);
         }
 
@@ -200,12 +200,12 @@
         }
 
         @Override
-        public void onEnd() {
+        public void onComplete() {
             end(mStatus);
         }
 
         @Override
-        public void onBroken(ResultCode code, String why) {
+        public void onFailed(ResultCode code, String reason) {
             end(0);
         }
 
@@ -218,7 +218,7 @@
             if (!mEnded) {
                 mEnded = true;
                 mTimer.cancel(false);
-                mDone.accept(status, ByteBufUtil.getBytes(mBody));
+                mCallback.accept(status, ByteBufUtil.getBytes(mBody));
             }
         }
     }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/SilentListener.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/NoOpAttemptListener.java
@@ -20,13 +20,13 @@
 import org.quilldyke.ResultCode;
 
 /** Takes no notice of an attempt that was given up. */
-final class SilentListener implements AttemptListener {
-    static final SilentListener INSTANCE = new SilentListener();
+final class NoOpAttemptListener implements AttemptListener {
+    static final NoOpAttemptListener INSTANCE = new NoOpAttemptListener();
 
-    private SilentListener() {}
+    private NoOpAttemptListener() {}
 
     @Override
-    public void onUnsent(String why) {
+    public void onUnsent(String reason) {
         // Given up before.
     }
 
@@ -46,12 +46,12 @@
     }
 
     @Override
-    public void onEnd() {
+    public void onComplete() {
         // Given up before.
     }
 
     @Override
-    public void onBroken(ResultCode code, String why) {
+    public void onFailed(ResultCode code, String reason) {
         // Given up before.
     }
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/RefusedNews.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/RefusalLog.java
@@ -31,12 +31,12 @@
  * Counts what targets say that can't be taken, by where it was said and why, and logs some of it: a
  * flood fills no disk and hides nothing else. Safe for use by several threads.
  */
-public final class RefusedNews {
-    private static final int LINES = 5;
-    private static final long LINES_MILLIS = 1000;
-    private static final int MAX_TEXT = 200;
+public final class RefusalLog {
+    private static final int MAX_LINES = 5;
+    private static final long LINE_WINDOW_MILLIS = 1000;
+    private static final int MAX_TEXT_CHARS = 200;
 
-    private static final Set<ResultCode> REASONS =
+    private static final Set<ResultCode> REPORT_ERRORS =
             EnumSet.of(
                     ResultCode.REPORT_INVALID,
                     ResultCode.REPORT_UNREADABLE,
@@ -50,9 +50,9 @@
     private final MetricRegistry mMetrics;
     private final EventLog mLog;
     private final LongSupplier mClock;
-    private final LineLimit mLimit = LineLimit.of(LINES, LINES_MILLIS);
+    private final LineLimit mLineLimit = LineLimit.of(MAX_LINES, LINE_WINDOW_MILLIS);
 
-    private RefusedNews(MetricRegistry metrics, EventLog log, LongSupplier clock) {
+    private RefusalLog(MetricRegistry metrics, EventLog log, LongSupplier clock) {
         mMetrics = metrics;
         mLog = log;
         mClock = clock;
@@ -66,38 +66,38 @@
      * @param log where events go
      * @param clock monotonic milliseconds
      */
-    public static RefusedNews create(MetricRegistry metrics, EventLog log, LongSupplier clock) {
-        return new RefusedNews(metrics, log, clock);
+    public static RefusalLog create(MetricRegistry metrics, EventLog log, LongSupplier clock) {
+        return new RefusalLog(metrics, log, clock);
     }
 
     /** Returns whether a refusal concerns what a target says, and not an operator's call. */
-    public static boolean concerns(ResultCode code) {
-        return REASONS.contains(code);
+    public static boolean isReportError(ResultCode code) {
+        return REPORT_ERRORS.contains(code);
     }
 
     /**
      * Takes notice of one piece of news that was refused.
      *
      * @param source where it was said
-     * @param from who said it, as far as known
-     * @param why the refusal
+     * @param sender who said it, as far as known
+     * @param error the refusal
      */
-    public void onRefused(Source source, String from, QuilldykeException why) {
-        onRefused(source, from, why.code(), 1, String.valueOf(why.getMessage()));
+    public void onRefused(Source source, String sender, QuilldykeException error) {
+        onRefused(source, sender, error.code(), 1, String.valueOf(error.getMessage()));
     }
 
     /** Takes notice of events of a cache that were left out. */
-    public void onEventsLeftOut(String from, int count) {
+    public void onEventsSkipped(String sender, int count) {
         ResultCode code = ResultCode.REPORT_EVENT;
-        onRefused(Source.CACHE, from, code, count, code.label() + ' ' + code.meaning());
+        onRefused(Source.CACHE, sender, code, count, code.label() + ' ' + code.meaning());
     }
 
     /** Takes notice of a call that was refused for another reason; {@code event} tells of it. */
-    public void onCallRefused(Event event, String path, QuilldykeException why) {
-        String code = why.code().label();
+    public void onCallRefused(Event event, String path, QuilldykeException error) {
+        String code = error.code().label();
         mMetrics.counter("calls-refused." + code).inc();
-        OptionalLong leftOut = admit("call." + code);
-        if (leftOut.isPresent()) {
+        OptionalLong suppressed = admitLine("call." + code);
+        if (suppressed.isPresent()) {
             mLog.write(
                     event,
                     "path",
@@ -105,23 +105,23 @@
                     "code",
                     code,
                     "detail",
-                    printable(String.valueOf(why.getMessage())),
+                    printable(String.valueOf(error.getMessage())),
                     "left_out",
-                    leftOut.getAsLong());
+                    suppressed.getAsLong());
         }
     }
 
-    private void onRefused(Source source, String from, ResultCode code, int count, String detail) {
+    private void onRefused(Source source, String sender, ResultCode code, int count, String detail) {
         String name = source.name().toLowerCase(Locale.ROOT);
         mMetrics.counter("news-refused." + name + '.' + code.label()).inc(count);
-        OptionalLong leftOut = admit(name + '.' + code.label());
-        if (leftOut.isPresent()) {
+        OptionalLong suppressed = admitLine(name + '.' + code.label());
+        if (suppressed.isPresent()) {
             mLog.write(
                     Event.NEWS_REFUSED,
                     "source",
                     name,
                     "from",
-                    printable(from),
+                    printable(sender),
                     "code",
                     code.label(),
                     "count",
@@ -129,18 +129,18 @@
                     "detail",
                     printable(detail),
                     "left_out",
-                    leftOut.getAsLong());
+                    suppressed.getAsLong());
         }
     }
 
-    private synchronized OptionalLong admit(String kind) {
-        return mLimit.admit(kind, mClock.getAsLong());
+    private synchronized OptionalLong admitLine(String kind) {
+        return mLineLimit.admit(kind, mClock.getAsLong());
     }
 
     /** What others wrote shall neither end a line nor be one that has no end. */
     private static String printable(String text) {
-        String begin = text.length() <= MAX_TEXT ? text : text.substring(0, MAX_TEXT) + "...";
-        return begin.replaceAll("\\p{Cntrl}", "?");
+        String prefix = text.length() <= MAX_TEXT_CHARS ? text : text.substring(0, MAX_TEXT_CHARS) + "...";
+        return prefix.replaceAll("\\p{Cntrl}", "?");
     }
 
     /** Where something was said. */
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/TargetConnection.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/TargetConnection.java
@@ -41,48 +41,48 @@
  */
 final class TargetConnection extends ChannelInboundHandlerAdapter {
     /** How long a connection is kept for which the target names no time; a usual server's least. */
-    private static final long IDLE_MILLIS = 4000;
+    private static final long DEFAULT_IDLE_MILLIS = 4000;
 
     /** A kept connection isn't used this close to its end, so that requests don't cross it. */
     private static final long IDLE_MARGIN_MILLIS = 700;
 
-    private static final Pattern TIMEOUT = Pattern.compile("timeout\\s*=\\s*(\\d{1,6})");
+    private static final Pattern KEEP_ALIVE_TIMEOUT = Pattern.compile("timeout\\s*=\\s*(\\d{1,6})");
 
-    private final TargetPool.Slot mSlot;
+    private final TargetConnectionPool.PerTargetPool mPool;
     private final TargetDialect mDialect;
     private ChannelHandlerContext mContext;
     private Attempt mAttempt;
-    private ChannelFuture mWritten;
-    private Part mPart = Part.HEAD;
-    private boolean mReset;
-    private boolean mFault;
-    private boolean mLast;
+    private ChannelFuture mWriteFuture;
+    private ReadState mReadState = ReadState.AWAITING_HEAD;
+    private boolean mConnectionFailed;
+    private boolean mListenerFailed;
+    private boolean mNotReusable;
     private long mUsableUntil;
-    private long mIdleMillis = IDLE_MILLIS;
+    private long mIdleMillis = DEFAULT_IDLE_MILLIS;
 
-    TargetConnection(TargetPool.Slot slot, TargetDialect dialect) {
-        mSlot = slot;
+    TargetConnection(TargetConnectionPool.PerTargetPool pool, TargetDialect dialect) {
+        mPool = pool;
         mDialect = dialect;
     }
 
     /** Sends a request; the connection must be free. */
     void send(Attempt attempt) {
         mAttempt = attempt;
-        mPart = Part.HEAD;
+        mReadState = ReadState.AWAITING_HEAD;
         attempt.onConnection(this);
         attempt.listener().onSending();
-        mWritten = mContext.writeAndFlush(attempt.request());
+        mWriteFuture = mContext.writeAndFlush(attempt.request());
     }
 
     /** Waits for its first request. */
-    void keep() {
-        mUsableUntil = mSlot.now() + mIdleMillis;
-        mSlot.onFree(this);
+    void addToPool() {
+        mUsableUntil = mPool.now() + mIdleMillis;
+        mPool.onFree(this);
     }
 
     /** Returns whether a request may be sent at {@code now}. */
     boolean isUsable(long now) {
-        return mContext.channel().isActive() && mAttempt == null && !mLast && now < mUsableUntil;
+        return mContext.channel().isActive() && mAttempt == null && !mNotReusable && now < mUsableUntil;
     }
 
     void cancel(Attempt attempt) {
@@ -98,7 +98,7 @@
     }
 
     void close() {
-        mLast = true;
+        mNotReusable = true;
         mContext.close();
     }
 
@@ -110,7 +110,7 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         try {
-            if (!mFault) {
+            if (!mListenerFailed) {
                 onObject((HttpObject) message);
             }
         } finally {
@@ -121,11 +121,11 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            mFault = true;
-            mSlot.onFault(cause);
+            mListenerFailed = true;
+            mPool.onInternalError(cause);
         }
         // A reset: what was read so far may not be whole, whatever its framing says.
-        mReset = true;
+        mConnectionFailed = true;
         ctx.close();
     }
 
@@ -133,11 +133,11 @@
     public void channelInactive(ChannelHandlerContext ctx) {
         Attempt attempt = mAttempt;
         mAttempt = null;
-        mSlot.onClosed(this);
+        mPool.onClosed(this);
         if (attempt != null) {
-            String reset = mFault ? "a fault of this instance" : "reset";
+            String error = mListenerFailed ? "a fault of this instance" : "reset";
             attempt.listener()
-                    .onBroken(ResultCode.TARGET_LOST, mReset ? reset : "connection closed");
+                    .onFailed(ResultCode.TARGET_LOST, mConnectionFailed ? error : "connection closed");
         }
     }
 
@@ -160,36 +160,36 @@
 
     private void onHead(HttpResponse head) {
         if (head.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-            mPart = Part.FOREIGN;
+            mReadState = ReadState.SKIPPING_ANSWER;
             return;
         }
         String id = mDialect.read(head).requestId();
-        boolean foreign = !id.isEmpty() && !id.equals(mAttempt.requestId());
-        if (foreign) {
+        boolean mismatched = !id.isEmpty() && !id.equals(mAttempt.requestId());
+        if (mismatched) {
             // A late answer to an earlier request; ours may follow.
-            mPart = Part.FOREIGN;
-            mLast = true;
+            mReadState = ReadState.SKIPPING_ANSWER;
+            mNotReusable = true;
             return;
         }
-        mPart = Part.BODY;
-        mLast |= !HttpUtil.isKeepAlive(head) || !isFramed(head);
-        noteKeepAlive(head);
+        mReadState = ReadState.READING_BODY;
+        mNotReusable |= !HttpUtil.isKeepAlive(head) || !isFramed(head);
+        applyKeepAliveTimeout(head);
         mAttempt.listener().onHead(head);
     }
 
     private void onContent(HttpContent content) {
         boolean last = content instanceof LastHttpContent;
-        if (mPart == Part.BODY && content.content().isReadable()) {
+        if (mReadState == ReadState.READING_BODY && content.content().isReadable()) {
             mAttempt.listener().onBody(content.content());
         }
         if (!last || mAttempt == null) {
             return;
         }
-        if (mPart == Part.FOREIGN) {
-            mPart = Part.HEAD;
+        if (mReadState == ReadState.SKIPPING_ANSWER) {
+            mReadState = ReadState.AWAITING_HEAD;
             return;
         }
-        if (mReset) {
+        if (mConnectionFailed) {
             // The end was only that of the connection.
             return;
         }
@@ -200,39 +200,39 @@
         Attempt attempt = mAttempt;
         mAttempt = null;
         mContext.channel().config().setAutoRead(true);
-        mUsableUntil = mSlot.now() + mIdleMillis;
-        if (mLast || attempt.isCancelled()) {
+        mUsableUntil = mPool.now() + mIdleMillis;
+        if (mNotReusable || attempt.isCancelled()) {
             close();
         } else {
             releaseWhenWritten();
         }
-        attempt.listener().onEnd();
+        attempt.listener().onComplete();
     }
 
     /**
      * The target may have answered before it has read all; it gets the rest before anything else.
      */
     private void releaseWhenWritten() {
-        mWritten.addListener(
+        mWriteFuture.addListener(
                 written -> {
                     if (written.isSuccess() && mContext.channel().isActive()) {
-                        mSlot.onFree(this);
+                        mPool.onFree(this);
                     } else {
                         close();
                     }
                 });
     }
 
-    private void fail(String why) {
+    private void fail(String reason) {
         Attempt attempt = mAttempt;
         mAttempt = null;
         close();
-        attempt.listener().onBroken(ResultCode.ANSWER_SPOILED, why);
+        attempt.listener().onFailed(ResultCode.ANSWER_SPOILED, reason);
     }
 
-    private void noteKeepAlive(HttpResponse head) {
+    private void applyKeepAliveTimeout(HttpResponse head) {
         String value = head.headers().get(HttpHeaderNames.KEEP_ALIVE);
-        Matcher timeout = value == null ? null : TIMEOUT.matcher(value);
+        Matcher timeout = value == null ? null : KEEP_ALIVE_TIMEOUT.matcher(value);
         if (timeout != null && timeout.find()) {
             mIdleMillis = Long.parseLong(timeout.group(1)) * 1000 - IDLE_MARGIN_MILLIS;
         }
@@ -247,10 +247,10 @@
     }
 
     /** Which part of an answer is due. */
-    private enum Part {
-        HEAD,
-        BODY,
+    private enum ReadState {
+        AWAITING_HEAD,
+        READING_BODY,
         /** The rest of an answer that isn't the one waited for. */
-        FOREIGN
+        SKIPPING_ANSWER
     }
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/TargetPool.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/TargetConnectionPool.java
@@ -40,9 +40,9 @@
 import org.quilldyke.gateway.dialect.TargetDialect;
 
 /** Connections to targets, kept for the next request. Lives on the traffic thread. */
-public final class TargetPool {
+public final class TargetConnectionPool {
     /** A target in reach accepts within a few milliseconds; one that is dark never does. */
-    private static final int CONNECT_MILLIS = 300;
+    private static final int CONNECT_TIMEOUT_MILLIS = 300;
 
     private static final int MAX_HEADER_BYTES = 64 << 10;
 
@@ -50,9 +50,9 @@
     private final TargetDialect mDialect;
     private final LongSupplier mClock;
     private final Listener mListener;
-    private final Map<String, Slot> mSlots = new HashMap<>();
+    private final Map<String, PerTargetPool> mPoolsByTarget = new HashMap<>();
 
-    private TargetPool(
+    private TargetConnectionPool(
             EventLoop loop, TargetDialect dialect, LongSupplier clock, Listener listener) {
         mLoop = loop;
         mDialect = dialect;
@@ -67,7 +67,7 @@
      * @param dialect how targets speak
      * @param clock monotonic milliseconds
      */
-    public static TargetPool create(EventLoop loop, TargetDialect dialect, LongSupplier clock) {
+    public static TargetConnectionPool create(EventLoop loop, TargetDialect dialect, LongSupplier clock) {
         return create(loop, dialect, clock, new Listener() {});
     }
 
@@ -79,9 +79,9 @@
      * @param clock monotonic milliseconds
      * @param listener hears what becomes of connections
      */
-    public static TargetPool create(
+    public static TargetConnectionPool create(
             EventLoop loop, TargetDialect dialect, LongSupplier clock, Listener listener) {
-        return new TargetPool(loop, dialect, clock, listener);
+        return new TargetConnectionPool(loop, dialect, clock, listener);
     }
 
     /**
@@ -100,12 +100,12 @@
             String requestId,
             AttemptListener listener) {
         Attempt attempt = new Attempt(request, requestId, listener);
-        Slot slot = mSlots.computeIfAbsent(target, id -> new Slot(target, address));
-        TargetConnection free = slot.takeFree();
+        PerTargetPool pool = mPoolsByTarget.computeIfAbsent(target, id -> new PerTargetPool(target, address));
+        TargetConnection free = pool.takeFree();
         if (free != null) {
             free.send(attempt);
         } else {
-            slot.connect(attempt);
+            pool.connect(attempt);
         }
         return attempt;
     }
@@ -114,55 +114,55 @@
      * Finds out whether a target still takes connections, if none to it is open; one that is made
      * is kept for the next request.
      */
-    public void look(String target) {
-        Slot slot = mSlots.get(target);
-        if (slot != null) {
-            slot.look();
+    public void probe(String target) {
+        PerTargetPool pool = mPoolsByTarget.get(target);
+        if (pool != null) {
+            pool.probe();
         }
     }
 
     /** Closes the connections to a target that is gone, as soon as they are free. */
-    public void forget(String target) {
-        Slot slot = mSlots.remove(target);
-        if (slot != null) {
-            slot.retire();
+    public void removeTarget(String target) {
+        PerTargetPool pool = mPoolsByTarget.remove(target);
+        if (pool != null) {
+            pool.onRemoved();
         }
     }
 
     /** Returns the number of connections that are open, free or not. */
     public int connections() {
-        return mSlots.values().stream().mapToInt(slot -> slot.mOpen.size()).sum();
+        return mPoolsByTarget.values().stream().mapToInt(pool -> pool.mOpen.size()).sum();
     }
 
     /** Closes connections that were idle for too long. */
     public void closeIdle() {
-        mSlots.values().forEach(Slot::closeIdle);
+        mPoolsByTarget.values().forEach(PerTargetPool::closeIdle);
     }
 
     /** The connections to one target. */
-    final class Slot {
+    final class PerTargetPool {
         private final String mTarget;
         private final String mAddress;
         private final Deque<TargetConnection> mFree = new ArrayDeque<>();
         private final List<TargetConnection> mOpen = new ArrayList<>();
-        private boolean mRetired;
-        private boolean mLooking;
+        private boolean mRemoved;
+        private boolean mProbing;
 
-        Slot(String target, String address) {
+        PerTargetPool(String target, String address) {
             mTarget = target;
             mAddress = address;
         }
 
-        private void tellFree() {
-            mListener.onFree(mTarget, mFree.size());
+        private void notifyFreeCount() {
+            mListener.onFreeConnections(mTarget, mFree.size());
         }
 
         long now() {
             return mClock.getAsLong();
         }
 
-        void onFault(Throwable fault) {
-            mListener.onFault(fault);
+        void onInternalError(Throwable fault) {
+            mListener.onInternalError(fault);
         }
 
         /** Returns the free connection that was used last, or null. */
@@ -172,67 +172,67 @@
                 connection.close();
                 connection = mFree.pollFirst();
             }
-            tellFree();
+            notifyFreeCount();
             return connection;
         }
 
         void connect(Attempt attempt) {
             if (!SocketAddresses.isIpAndPort(mAddress)) {
                 // The listener hears nothing before it knows its attempt.
-                mLoop.execute(() -> giveUp(attempt, "not IP:port: " + mAddress));
+                mLoop.execute(() -> failUnsent(attempt, "not IP:port: " + mAddress));
                 return;
             }
             TargetConnection connection = new TargetConnection(this, mDialect);
-            open(connection)
+            openChannel(connection)
                     .addListener(
                             (ChannelFuture connecting) ->
                                     onConnected(connecting, connection, attempt));
         }
 
-        void look() {
-            if (mLooking || mRetired || !mOpen.isEmpty()) {
+        void probe() {
+            if (mProbing || mRemoved || !mOpen.isEmpty()) {
                 return;
             }
-            mLooking = true;
+            mProbing = true;
             TargetConnection connection = new TargetConnection(this, mDialect);
-            open(connection).addListener((ChannelFuture made) -> onLooked(made, connection));
+            openChannel(connection).addListener((ChannelFuture made) -> onProbed(made, connection));
         }
 
-        private void onLooked(ChannelFuture connecting, TargetConnection connection) {
-            mLooking = false;
+        private void onProbed(ChannelFuture connecting, TargetConnection connection) {
+            mProbing = false;
             if (connecting.isSuccess()) {
                 mOpen.add(connection);
-                connection.keep();
+                connection.addToPool();
             } else {
-                tellIfRefused(connecting.cause());
+                notifyIfRefused(connecting.cause());
             }
         }
 
-        private ChannelFuture open(TargetConnection connection) {
+        private ChannelFuture openChannel(TargetConnection connection) {
             InetSocketAddress address = Addresses.parse(mAddress);
             return bootstrap(connection).connect(address);
         }
 
         /** Whoever doesn't answer at all may be cut off; whoever refuses has nobody listening. */
-        private void tellIfRefused(Throwable cause) {
+        private void notifyIfRefused(Throwable cause) {
             if (cause instanceof ConnectException && !(cause instanceof ConnectTimeoutException)) {
-                mListener.onRefused(mTarget);
+                mListener.onConnectionRefused(mTarget);
             }
         }
 
         void onFree(TargetConnection connection) {
-            if (mRetired) {
+            if (mRemoved) {
                 connection.close();
             } else {
                 mFree.addFirst(connection);
-                tellFree();
+                notifyFreeCount();
             }
         }
 
         void onClosed(TargetConnection connection) {
             mOpen.remove(connection);
             if (mFree.remove(connection)) {
-                tellFree();
+                notifyFreeCount();
             }
         }
 
@@ -244,13 +244,13 @@
                 }
             }
             if (mFree.removeAll(stale)) {
-                tellFree();
+                notifyFreeCount();
             }
             stale.forEach(TargetConnection::close);
         }
 
-        void retire() {
-            mRetired = true;
+        void onRemoved() {
+            mRemoved = true;
             mFree.forEach(TargetConnection::close);
             mFree.clear();
         }
@@ -258,8 +258,8 @@
         private void onConnected(
                 ChannelFuture connecting, TargetConnection connection, Attempt attempt) {
             if (!connecting.isSuccess()) {
-                tellIfRefused(connecting.cause());
-                giveUp(attempt, String.valueOf(connecting.cause()));
+                notifyIfRefused(connecting.cause());
+                failUnsent(attempt, String.valueOf(connecting.cause()));
                 return;
             }
             mOpen.add(connection);
@@ -270,10 +270,10 @@
             }
         }
 
-        private void giveUp(Attempt attempt, String why) {
+        private void failUnsent(Attempt attempt, String reason) {
             if (!attempt.isCancelled()) {
                 attempt.request().release();
-                attempt.listener().onUnsent(why);
+                attempt.listener().onUnsent(reason);
             }
         }
 
@@ -282,7 +282,7 @@
                     .group(mLoop)
                     .channel(NioSocketChannel.class)
                     .option(ChannelOption.TCP_NODELAY, true)
-                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                     .handler(
                             new ChannelInitializer<Channel>() {
                                 @Override
@@ -308,12 +308,12 @@
     /** Hears what becomes of connections, on the traffic thread. */
     public interface Listener {
         /** What a listener of an attempt has thrown, which ends its connection. */
-        default void onFault(Throwable fault) {}
+        default void onInternalError(Throwable fault) {}
 
         /** So many connections to a target are free now. */
-        default void onFree(String target, int free) {}
+        default void onFreeConnections(String target, int free) {}
 
         /** Nobody listens at a target's address. */
-        default void onRefused(String target) {}
+        default void onConnectionRefused(String target) {}
     }
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/http/RequestFraming.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/http/RequestFraming.java
@@ -39,7 +39,7 @@
      * @throws QuilldykeException {@link ResultCode#MALFORMED_REQUEST}, {@link
      *     ResultCode#HEADERS_TOO_LARGE}, {@link ResultCode#BODY_TOO_LARGE}
      */
-    public static void check(HttpRequest head, long bodyBytes) throws QuilldykeException {
+    public static void checkHead(HttpRequest head, long maxBodyBytes) throws QuilldykeException {
         checkDecoded(head.decoderResult());
         HttpHeaders headers = head.headers();
         if (!head.protocolVersion().equals(HttpVersion.HTTP_1_1)
@@ -62,7 +62,7 @@
             throw malformed("several lengths");
         }
         if (!lengths.isEmpty()) {
-            checkLength(lengths.get(0), bodyBytes);
+            checkLength(lengths.get(0), maxBodyBytes);
         }
     }
 
@@ -94,11 +94,11 @@
         }
     }
 
-    private static void checkLength(String length, long bodyBytes) throws QuilldykeException {
+    private static void checkLength(String length, long maxBodyBytes) throws QuilldykeException {
         if (!length.matches("[0-9]{1,18}")) {
             throw malformed("length " + length);
         }
-        if (Long.parseLong(length) > bodyBytes) {
+        if (Long.parseLong(length) > maxBodyBytes) {
             throw QuilldykeException.notRun(ResultCode.BODY_TOO_LARGE, length + " bytes");
         }
     }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/operator/ControlServer.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/operator/ControlServer.java
@@ -47,7 +47,7 @@
 import org.quilldyke.gateway.control.ControlNode;
 import org.quilldyke.gateway.dialect.ControlCall;
 import org.quilldyke.gateway.dialect.ControlDialect;
-import org.quilldyke.gateway.engine.RefusedNews;
+import org.quilldyke.gateway.engine.RefusalLog;
 import org.quilldyke.gateway.http.HttpListener;
 import org.quilldyke.gateway.http.RequestFraming;
 import org.quilldyke.gateway.instance.NettyLoop;
@@ -65,7 +65,7 @@
     private final ControlNode mNode;
     private final ControlDialect mDialect;
     private final MetricRegistry mMetrics;
-    private final RefusedNews mRefused;
+    private final RefusalLog mRefused;
     private final AtomicInteger mOpen = new AtomicInteger();
 
     private ControlServer(
@@ -73,7 +73,7 @@
             ControlNode node,
             ControlDialect dialect,
             MetricRegistry metrics,
-            RefusedNews refused) {
+            RefusalLog refused) {
         mControl = control;
         mNode = node;
         mDialect = dialect;
@@ -101,7 +101,7 @@
             ControlNode node,
             ControlDialect dialect,
             MetricRegistry metrics,
-            RefusedNews refused)
+            RefusalLog refused)
             throws QuilldykeException {
         ControlServer server = new ControlServer(control, node, dialect, metrics, refused);
         HttpListener.bind(address, loop, server::initialize);
@@ -234,8 +234,8 @@
 
         private void refuse(
                 ChannelHandlerContext ctx, QuilldykeException e, String path, boolean keepAlive) {
-            if (RefusedNews.concerns(e.code())) {
-                mRefused.onRefused(RefusedNews.Source.REPORT, path, e);
+            if (RefusalLog.isReportError(e.code())) {
+                mRefused.onRefused(RefusalLog.Source.REPORT, path, e);
             } else {
                 mRefused.onCallRefused(
                         e.code() == ResultCode.MANIFEST_INVALID
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/caller/EventSplitterTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/caller/EventSplitterTest.java
@@ -33,7 +33,7 @@
             "id: 1\ndata: a\n\nweights: 2\nid: 3\r\ndata: b\ndata: c\r\n\r\n: note\n\nid: x\n\n";
 
     @Test
-    void eventsKeepTheirBytesAndTellTheirNumbers() {
+    void keepsBytesAndParsesNumbers() {
         List<EventSplitter.Event> events = split(STREAM, STREAM.length());
 
         assertThat(texts(events)).isEqualTo(STREAM);
@@ -44,7 +44,7 @@
 
     /** However the bytes arrive, the same events come out. */
     @Property(tries = 40)
-    void piecesOfAnySizeMakeTheSameEvents(@ForAll @IntRange(min = 1, max = 60) int size) {
+    void eventsDoNotDependOnChunkSize(@ForAll @IntRange(min = 1, max = 60) int size) {
         List<EventSplitter.Event> events = split(STREAM, size);
 
         assertThat(events).hasSize(4);
@@ -52,12 +52,12 @@
     }
 
     @Test
-    void partOfAnEventIsHeldBack() {
+    void incompleteEventIsBuffered() {
         EventSplitter splitter = new EventSplitter(UnpooledByteBufAllocator.DEFAULT);
 
         assertThat(splitter.add(bytes("id: 1\ndata: a\n\nid: 2\nda"))).hasSize(1);
 
-        assertThat(splitter.partBytes()).isEqualTo("id: 2\nda".length());
+        assertThat(splitter.incompleteBytes()).isEqualTo("id: 2\nda".length());
     }
 
     private static List<EventSplitter.Event> split(String text, int size) {
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/ControlNodeTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/ControlNodeTest.java
@@ -55,8 +55,8 @@
 import org.quilldyke.engine.TargetReport;
 import org.quilldyke.gateway.dialect.ControlCall;
 import org.quilldyke.gateway.dialect.ControlDialect;
-import org.quilldyke.gateway.engine.EngineOrders;
-import org.quilldyke.gateway.engine.RefusedNews;
+import org.quilldyke.gateway.engine.EngineClient;
+import org.quilldyke.gateway.engine.RefusalLog;
 import org.quilldyke.gateway.instance.NettyLoop;
 import org.quilldyke.gateway.instance.SessionServer;
 import org.quilldyke.gateway.instance.TargetFrames;
@@ -102,8 +102,8 @@
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final NettyLoop mLoop = new NettyLoop(mGroup.next());
     private final EventLog mLog = EventLog.of("test");
-    private final RefusedNews mRefused =
-            RefusedNews.create(new MetricRegistry(), mLog, ControlNodeTest::now);
+    private final RefusalLog mRefused =
+            RefusalLog.create(new MetricRegistry(), mLog, ControlNodeTest::now);
     private final List<ControlFrame> mTold = new CopyOnWriteArrayList<>();
     private ControlNode mNode;
 
@@ -318,7 +318,7 @@
                                             mLoop,
                                             ControlNodeTest::now,
                                             mLog,
-                                            EngineOrders.create(
+                                            EngineClient.create(
                                                     mGroup.next(),
                                                     null,
                                                     ControlNodeTest::now,
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/CrashSpreadTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/CrashSpreadTest.java
@@ -35,7 +35,7 @@
 import org.quilldyke.caller.TargetCrash;
 import org.quilldyke.daemon.control.DataFolder;
 import org.quilldyke.daemon.log.EventLog;
-import org.quilldyke.gateway.engine.RefusedNews;
+import org.quilldyke.gateway.engine.RefusalLog;
 import org.quilldyke.gateway.instance.CrashFrames;
 import org.quilldyke.gateway.instance.NettyLoop;
 import org.quilldyke.gateway.instance.proto.CrashNews;
@@ -61,7 +61,7 @@
     @BeforeEach
     void start() throws Exception {
         NettyLoop loop = new NettyLoop(mGroup.next());
-        RefusedNews refused = RefusedNews.create(new MetricRegistry(), mLog, () -> mNow);
+        RefusalLog refused = RefusalLog.create(new MetricRegistry(), mLog, () -> mNow);
         mMemory = RestartMemory.in(DataFolder.open(mFolder), loop, mLog, refused, "127.0.0.1:1");
         mSpread =
                 new CrashSpread(
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/FleetTellingTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/FleetTellingTest.java
@@ -33,7 +33,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.quilldyke.daemon.control.DataFolder;
 import org.quilldyke.daemon.log.EventLog;
-import org.quilldyke.gateway.engine.RefusedNews;
+import org.quilldyke.gateway.engine.RefusalLog;
 import org.quilldyke.gateway.instance.NettyLoop;
 import org.quilldyke.gateway.instance.Peers;
 import org.quilldyke.gateway.instance.SessionServer;
@@ -106,7 +106,7 @@
     private Told play(int instances) throws Exception {
         NettyLoop loop = new NettyLoop(mGroup.next());
         Peers peers = Peers.create(loop, () -> mNow, mLog, SELF);
-        RefusedNews refused = RefusedNews.create(new MetricRegistry(), mLog, () -> mNow);
+        RefusalLog refused = RefusalLog.create(new MetricRegistry(), mLog, () -> mNow);
         RestartMemory memory =
                 RestartMemory.in(DataFolder.open(mFolder), loop, mLog, refused, SELF);
         EntrySessions sessions = new EntrySessions(() -> mNow, mLog, peers, "z");
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/RestartMemoryFuzzTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/RestartMemoryFuzzTest.java
@@ -34,7 +34,7 @@
 import org.quilldyke.engine.Departure;
 import org.quilldyke.engine.TargetRegistry;
 import org.quilldyke.engine.TargetReport;
-import org.quilldyke.gateway.engine.RefusedNews;
+import org.quilldyke.gateway.engine.RefusalLog;
 import org.quilldyke.gateway.instance.TargetFrames;
 import org.quilldyke.gateway.instance.proto.CacheNews;
 import org.quilldyke.gateway.instance.proto.Target;
@@ -178,7 +178,7 @@
 
     private RestartMemory memory(String owner, VirtualDisk writes) throws QuilldykeException {
         VirtualLoop loop = new VirtualLoop(() -> mNow);
-        RefusedNews refused = RefusedNews.create(new MetricRegistry(), mLog, () -> 0);
+        RefusalLog refused = RefusalLog.create(new MetricRegistry(), mLog, () -> 0);
         DataFolder folder = DataFolder.open(mDisk.folder());
         return RestartMemory.on(DiskQueue.on(writes, loop, mLog), folder, mLog, refused, owner);
     }
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/RestartMemoryTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/RestartMemoryTest.java
@@ -30,7 +30,7 @@
 import org.quilldyke.daemon.control.DataFolder;
 import org.quilldyke.daemon.log.EventLog;
 import org.quilldyke.engine.TargetReport;
-import org.quilldyke.gateway.engine.RefusedNews;
+import org.quilldyke.gateway.engine.RefusalLog;
 import org.quilldyke.gateway.instance.NettyLoop;
 import org.quilldyke.gateway.instance.proto.CacheNews;
 
@@ -132,7 +132,7 @@
                 DataFolder.open(mFolder),
                 new NettyLoop(mGroup.next()),
                 log,
-                RefusedNews.create(new MetricRegistry(), log, () -> 0),
+                RefusalLog.create(new MetricRegistry(), log, () -> 0),
                 "10.0.0.1:7340");
     }
 }
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/SpreadFixture.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/SpreadFixture.java
@@ -29,7 +29,7 @@
 import org.quilldyke.daemon.control.DataFolder;
 import org.quilldyke.daemon.log.EventLog;
 import org.quilldyke.engine.TargetReport;
-import org.quilldyke.gateway.engine.RefusedNews;
+import org.quilldyke.gateway.engine.RefusalLog;
 import org.quilldyke.gateway.instance.NettyLoop;
 import org.quilldyke.gateway.instance.proto.PeerFrame;
 import org.quilldyke.gateway.instance.proto.Target;
@@ -55,7 +55,7 @@
     @BeforeEach
     void start() throws Exception {
         NettyLoop loop = new NettyLoop(mGroup.next());
-        RefusedNews refused = RefusedNews.create(mMetrics, mLog, () -> mNow);
+        RefusalLog refused = RefusalLog.create(mMetrics, mLog, () -> mNow);
         mMemory = RestartMemory.in(DataFolder.open(mFolder), loop, mLog, refused, "127.0.0.1:1");
         mDeliveries = new Deliveries(this::toPeers, () -> mNow, COPIES);
         mSpread =
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/engine/RefusedNewsTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/engine/RefusalLogTest.java
@@ -24,14 +24,14 @@
 import org.quilldyke.daemon.log.Event;
 import org.quilldyke.daemon.log.EventLog;
 
-class RefusedNewsTest {
+class RefusalLogTest {
     private final MetricRegistry mMetrics = new MetricRegistry();
     private final EventLog mLog = EventLog.of("test");
     private long mNow;
-    private final RefusedNews mNews = RefusedNews.create(mMetrics, mLog, () -> mNow);
+    private final RefusalLog mRefusals = RefusalLog.create(mMetrics, mLog, () -> mNow);
 
     @Test
-    void floodIsCountedWholeAndLoggedInPart() {
+    void logOfRefusedReportsIsRateLimitedAndCountIsNot() {
         for (mNow = 0; mNow < 4000; mNow++) {
             refuse(ResultCode.REPORT_ADDRESS);
         }
@@ -43,17 +43,17 @@
     }
 
     @Test
-    void eventsLeftOutAreCountedEach() {
-        mNews.onEventsLeftOut("10.0.0.1:80", 7);
+    void eachSkippedEventIsCounted() {
+        mRefusals.onEventsSkipped("10.0.0.1:80", 7);
 
         assertThat(mMetrics.counter("news-refused.cache.QR3016").getCount()).isEqualTo(7);
         assertThat(mLog.count(Event.NEWS_REFUSED)).isEqualTo(1);
     }
 
     @Test
-    void floodOfUnknownCallsIsBoundedToo() {
+    void logOfRefusedCallsIsRateLimited() {
         for (mNow = 0; mNow < 2000; mNow++) {
-            mNews.onCallRefused(
+            mRefusals.onCallRefused(
                     Event.CALL_REFUSED,
                     "/x".repeat(500),
                     QuilldykeException.notRun(ResultCode.UNKNOWN_PATH, "GET /x"));
@@ -64,12 +64,12 @@
     }
 
     @Test
-    void operatorsRefusalsAreNotOfTargets() {
-        assertThat(RefusedNews.concerns(ResultCode.MANIFEST_INVALID)).isFalse();
-        assertThat(RefusedNews.concerns(ResultCode.REPORT_SERVICE)).isTrue();
+    void manifestErrorIsNoReportError() {
+        assertThat(RefusalLog.isReportError(ResultCode.MANIFEST_INVALID)).isFalse();
+        assertThat(RefusalLog.isReportError(ResultCode.REPORT_SERVICE)).isTrue();
     }
 
     private void refuse(ResultCode code) {
-        mNews.onRefused(RefusedNews.Source.REPORT, "i-1", QuilldykeException.notRun(code, ""));
+        mRefusals.onRefused(RefusalLog.Source.REPORT, "i-1", QuilldykeException.notRun(code, ""));
     }
 }
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/http/HttpListenerTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/http/HttpListenerTest.java
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void takenAddressIsANumberedError() throws Exception {
+    void addressInUseHasResultCode() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             String address = "127.0.0.1:" + taken.getLocalPort();
             QuilldykeException error =
