--- a/quilldyke-core/src/main/java/org/quilldyke/caller/Forwarding.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/Forwarding.java
@@ -565,7 +565,8 @@
             mRun = TargetRun.open(mTargets, choice.get(), mRequest, now);
             return new Step.Send(choice.get(), left, mLastRelayedEvent);
         }
-        long waitUntil = mRequest.arrivedAt() + mRequest.route().latencyObjectiveMillis() / WAIT_DIVISOR;
+        long waitUntil =
+                mRequest.arrivedAt() + mRequest.route().latencyObjectiveMillis() / WAIT_DIVISOR;
         if (!mAnswerStarted && now + POLL_MILLIS < Math.min(waitUntil, mRequest.deadline())) {
             mHistory.clearUnavailable();
             return new Step.Wait(now + POLL_MILLIS);
--- a/quilldyke-core/src/main/java/org/quilldyke/control/Compaction.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/Compaction.java
@@ -27,4 +27,8 @@
  * @param remainingEntries the entries after it
  */
 public record Compaction(
-        long index, long term, Membership membership, byte[] snapshot, List<LogEntry> remainingEntries) {}
+        long index,
+        long term,
+        Membership membership,
+        byte[] snapshot,
+        List<LogEntry> remainingEntries) {}
--- a/quilldyke-core/src/main/java/org/quilldyke/control/ControlState.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/ControlState.java
@@ -79,7 +79,8 @@
         mLatestCommandMillis = Math.max(mLatestCommandMillis, command.at());
         mClaims.expire(mLatestCommandMillis);
         CommandResult result = dispatch(index, command);
-        Invariant.check(mConfiguration.version() >= previousVersion, "the configuration's version rises");
+        Invariant.check(
+                mConfiguration.version() >= previousVersion, "the configuration's version rises");
         return result;
     }
 
@@ -140,7 +141,8 @@
         Plan existing = mPlans.get(c.number());
         if (existing != null) {
             boolean resend = existing.intentId().equals(c.intentId());
-            return planResult(index, resend ? ResultCode.OK : ResultCode.PLAN_CONFLICT, existing, "");
+            return planResult(
+                    index, resend ? ResultCode.OK : ResultCode.PLAN_CONFLICT, existing, "");
         }
         String objection = c.intent().validationError(mConfiguration);
         if (!objection.isEmpty()) {
@@ -239,7 +241,8 @@
         if (existing != null && !existing.done()) {
             return planResult(index, ResultCode.OK, plan, "");
         }
-        Plan.Order order = new Plan.Order(c.target(), index, c.weights(), mLatestCommandMillis, false);
+        Plan.Order order =
+                new Plan.Order(c.target(), index, c.weights(), mLatestCommandMillis, false);
         return planResult(index, ResultCode.OK, storePlan(plan.with(order)), "");
     }
 
--- a/quilldyke-core/src/main/java/org/quilldyke/control/ElectionEligibility.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/ElectionEligibility.java
@@ -38,7 +38,9 @@
     /** Notes a timeout; returns whether to ask. */
     boolean onTimeout() {
         mTimeoutsWithoutLeader++;
-        return isVoter() || isVoterBeforeUncommittedChange() && mTimeoutsWithoutLeader > FORMER_VOTER_TIMEOUTS;
+        return isVoter()
+                || isVoterBeforeUncommittedChange()
+                        && mTimeoutsWithoutLeader > FORMER_VOTER_TIMEOUTS;
     }
 
     /** Notes that there is a leader. */
--- a/quilldyke-core/src/main/java/org/quilldyke/control/ElectionTimer.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/ElectionTimer.java
@@ -45,7 +45,8 @@
     /** Starts to wait for a short while: an election can't begin before others are asked anyway. */
     void restartForPreVote(long now) {
         long preVoteDelayMillis = Math.max(1, mElectionMillis / PRE_VOTE_DELAY_DIVISOR);
-        mDeadline = now + mBackoffFactor * (preVoteDelayMillis + mRandom.nextLong(preVoteDelayMillis));
+        mDeadline =
+                now + mBackoffFactor * (preVoteDelayMillis + mRandom.nextLong(preVoteDelayMillis));
     }
 
     /** Starts to wait anew. */
--- a/quilldyke-core/src/main/java/org/quilldyke/control/FollowerStatus.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/FollowerStatus.java
@@ -20,8 +20,8 @@
  *
  * @param id the replica
  * @param matchIndex the last entry that it is known to have synced
- * @param lastContactAt when the newest message was sent that it has answered, in milliseconds of the
- *     leader's clock; {@link Long#MIN_VALUE} if it has answered none
+ * @param lastContactAt when the newest message was sent that it has answered, in milliseconds of
+ *     the leader's clock; {@link Long#MIN_VALUE} if it has answered none
  */
 public record FollowerStatus(String id, long matchIndex, long lastContactAt) {
     /** Returns for how long the replica hasn't answered. */
--- a/quilldyke-core/src/main/java/org/quilldyke/control/Followers.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/Followers.java
@@ -139,7 +139,8 @@
         return majorityValue(now, Long.MIN_VALUE, FollowerProgress::ackedSentAt);
     }
 
-    private long majorityValue(long ownValue, long learnerValue, ToLongFunction<FollowerProgress> value) {
+    private long majorityValue(
+            long ownValue, long learnerValue, ToLongFunction<FollowerProgress> value) {
         List<Membership.Member> voters = mLog.membership().voters();
         long[] values = new long[voters.size()];
         int n = 0;
@@ -175,7 +176,8 @@
                         now));
     }
 
-    private ReplicaAction sendSnapshotChunk(String to, FollowerProgress progress, byte[] snapshot, long now) {
+    private ReplicaAction sendSnapshotChunk(
+            String to, FollowerProgress progress, byte[] snapshot, long now) {
         int offset = progress.snapshotOffset(mLog.baseIndex());
         int end = Math.min(snapshot.length, offset + mSettings.snapshotChunkBytes());
         progress.onChunkSent(now);
--- a/quilldyke-core/src/main/java/org/quilldyke/control/MembershipPlanner.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/MembershipPlanner.java
@@ -52,7 +52,8 @@
     /**
      * Returns a planner.
      *
-     * @param toleratedLosses how many disks may be lost at once: {@code 2 * tolerated + 1} replicas vote
+     * @param toleratedLosses how many disks may be lost at once: {@code 2 * tolerated + 1} replicas
+     *     vote
      */
     public static MembershipPlanner create(int toleratedLosses) {
         return new MembershipPlanner(toleratedLosses);
@@ -71,14 +72,16 @@
      * @param leaderSince when it was elected, in milliseconds of its clock
      * @param now the present time of its clock
      */
-    public Optional<Membership> nextMembership(Replica leader, String leaderId, long leaderSince, long now) {
+    public Optional<Membership> nextMembership(
+            Replica leader, String leaderId, long leaderSince, long now) {
         if (!leader.mayChangeMembership()) {
             return Optional.empty();
         }
         Membership membership = leader.membership();
         Map<String, FollowerStatus> status = new HashMap<>();
         leader.followers().forEach(follower -> status.put(follower.id(), follower));
-        GroupView view = new GroupView(membership, status, leader.lastIndex(), leaderSince, now, leaderId);
+        GroupView view =
+                new GroupView(membership, status, leader.lastIndex(), leaderSince, now, leaderId);
         return addJoiner(membership)
                 .or(() -> promoteStandby(view))
                 .or(() -> demoteVoter(view))
@@ -168,7 +171,10 @@
             Membership.Member newest = member;
             for (Membership.Member other : all) {
                 boolean sameAddress = other.address().equals(member.address());
-                newest = sameAddress && lastContactAt(other) > lastContactAt(newest) ? other : newest;
+                newest =
+                        sameAddress && lastContactAt(other) > lastContactAt(newest)
+                                ? other
+                                : newest;
             }
             return !newest.id().equals(member.id());
         }
--- a/quilldyke-core/src/main/java/org/quilldyke/control/PeerMessage.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/PeerMessage.java
@@ -27,10 +27,11 @@
      * @param lastIndex the end of the candidate's log
      * @param lastTerm its term
      * @param preVote whether only to tell if a vote would be given, which changes nothing
-     * @param leadershipTransfer whether the leader itself has asked for this election, so that a vote may be
-     *     given although the leader was heard just now
+     * @param leadershipTransfer whether the leader itself has asked for this election, so that a
+     *     vote may be given although the leader was heard just now
      */
-    record VoteRequest(long term, long lastIndex, long lastTerm, boolean preVote, boolean leadershipTransfer)
+    record VoteRequest(
+            long term, long lastIndex, long lastTerm, boolean preVote, boolean leadershipTransfer)
             implements PeerMessage {}
 
     /** Answers a {@link VoteRequest}. */
--- a/quilldyke-core/src/main/java/org/quilldyke/control/Replica.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/Replica.java
@@ -173,8 +173,8 @@
      * Tells that what was wanted stored is synced.
      *
      * @param index the end of the log when the sync was begun
-     * @param epoch {@link #truncationEpoch} when the sync was begun; entries that were removed since
-     *     make the news void
+     * @param epoch {@link #truncationEpoch} when the sync was begun; entries that were removed
+     *     since make the news void
      */
     public List<ReplicaAction> onSynced(long index, long epoch) throws QuilldykeException {
         if (!mStored.onSynced(index, epoch)) {
@@ -183,7 +183,8 @@
         advanceCommit();
         if (mPendingAckSentAt != NO_PENDING_ACK && !mLeader.isEmpty() && mRole == Role.FOLLOWER) {
             reply(mLeader, true, Math.min(mMatchedIndex, mStored.syncedIndex()), mPendingAckSentAt);
-            mPendingAckSentAt = mStored.syncedIndex() < mMatchedIndex ? mPendingAckSentAt : NO_PENDING_ACK;
+            mPendingAckSentAt =
+                    mStored.syncedIndex() < mMatchedIndex ? mPendingAckSentAt : NO_PENDING_ACK;
         }
         return drainActions();
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/control/ReplicaSettings.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/ReplicaSettings.java
@@ -22,7 +22,8 @@
  * Who takes part and how patient a replica is.
  *
  * @param self this replica's id
- * @param initialMembership the membership before the log's first change of it; empty for a replica that joins
+ * @param initialMembership the membership before the log's first change of it; empty for a replica
+ *     that joins
  * @param heartbeatMillis how often a leader speaks to its followers
  * @param electionMillis how long a follower waits for its leader at least; twice that at most
  * @param leaseMillis how long a leader may act on what a quorum has heard; shorter than {@code
@@ -54,7 +55,8 @@
 
     /** Returns settings with the usual times. */
     public static ReplicaSettings of(String self, Membership initialMembership) {
-        return new ReplicaSettings(self, initialMembership, 50, 300, 250, BATCH_BYTES, BATCH_BYTES, 1);
+        return new ReplicaSettings(
+                self, initialMembership, 50, 300, 250, BATCH_BYTES, BATCH_BYTES, 1);
     }
 
     /**
@@ -71,7 +73,14 @@
     /** Returns settings with other times. */
     public ReplicaSettings withTimes(long heartbeat, long election, long lease) {
         return new ReplicaSettings(
-                self, initialMembership, heartbeat, election, lease, batchBytes, snapshotChunkBytes, minVoters);
+                self,
+                initialMembership,
+                heartbeat,
+                election,
+                lease,
+                batchBytes,
+                snapshotChunkBytes,
+                minVoters);
     }
 
     /** Returns settings with other sizes of messages. */
--- a/quilldyke-core/src/main/java/org/quilldyke/control/RollOutPlanner.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/RollOutPlanner.java
@@ -25,9 +25,9 @@
  * The next steps of a plan that rolls out a weight version.
  *
  * <p>Decides from the plan and the live targets alone, so a new leader goes on where the old one
- * stopped. At most {@link #MAX_CONCURRENT_LOADS} engines load at once, since loading slows down beyond,
- * and an order whose target has vanished keeps its place until it returns or {@link #isStuck} ends
- * the plan.
+ * stopped. At most {@link #MAX_CONCURRENT_LOADS} engines load at once, since loading slows down
+ * beyond, and an order whose target has vanished keeps its place until it returns or {@link
+ * #isStuck} ends the plan.
  */
 public final class RollOutPlanner {
     /** Engines that may load weights at the same time. */
@@ -45,7 +45,8 @@
      * @param liveTargets the live targets of the cell
      * @param now the present time, in milliseconds since the epoch
      */
-    public static List<Command> nextCommands(Plan plan, Iterable<TargetRecord> liveTargets, long now) {
+    public static List<Command> nextCommands(
+            Plan plan, Iterable<TargetRecord> liveTargets, long now) {
         List<Command> commands = new ArrayList<>();
         if (!(plan.intent() instanceof Intent.PutModel intent)) {
             return commands;
--- a/quilldyke-core/src/main/java/org/quilldyke/control/StoredLog.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/StoredLog.java
@@ -43,7 +43,9 @@
     static StoredLog restore(
             ReplicaSettings settings, DurableState disk, Consumer<ReplicaAction> actions) {
         Membership base =
-                disk.snapshotIndex() == 0 ? settings.initialMembership() : disk.snapshotMembership();
+                disk.snapshotIndex() == 0
+                        ? settings.initialMembership()
+                        : disk.snapshotMembership();
         ReplicatedLog log =
                 new ReplicatedLog(disk.snapshotIndex(), disk.snapshotTerm(), base, disk.entries());
         return new StoredLog(log, disk.snapshot(), actions);
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/Incarnation.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/Incarnation.java
@@ -24,7 +24,8 @@
  * the incarnations of one id and are compared with nothing else.
  *
  * @param id the name that the target gives itself
- * @param startedAtMillis the Unix millisecond of its start by its own clock, {@link #UNKNOWN_START} if it doesn't say
+ * @param startedAtMillis the Unix millisecond of its start by its own clock, {@link #UNKNOWN_START}
+ *     if it doesn't say
  */
 public record Incarnation(String id, long startedAtMillis) {
     /** Stands for a target that doesn't say when it was born; any that says so is later. */
@@ -66,16 +67,20 @@
     /**
      * Returns whether an answer may be this incarnation's, so that it may be believed of it.
      *
-     * @param answeredStartedAtMillis the birth that the answer tells, {@link #UNKNOWN_START} if none
+     * @param answeredStartedAtMillis the birth that the answer tells, {@link #UNKNOWN_START} if
+     *     none
      */
     public boolean mayMatch(long answeredStartedAtMillis) {
-        return !hasStart() || answeredStartedAtMillis == UNKNOWN_START || answeredStartedAtMillis == startedAtMillis;
+        return !hasStart()
+                || answeredStartedAtMillis == UNKNOWN_START
+                || answeredStartedAtMillis == startedAtMillis;
     }
 
     /**
      * Returns whether an answer shows that another one has taken this incarnation's place.
      *
-     * @param answeredStartedAtMillis the birth that the answer tells, {@link #UNKNOWN_START} if none
+     * @param answeredStartedAtMillis the birth that the answer tells, {@link #UNKNOWN_START} if
+     *     none
      */
     public boolean isSupersededBy(long answeredStartedAtMillis) {
         return !mayMatch(answeredStartedAtMillis) && answeredStartedAtMillis > startedAtMillis;
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/LatestIncarnations.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/LatestIncarnations.java
@@ -60,7 +60,8 @@
             return Optional.empty();
         }
         Incarnation previous = mLatest.put(incarnation.id(), incarnation);
-        return Optional.ofNullable(previous).filter(known -> known.startedAtMillis() < incarnation.startedAtMillis());
+        return Optional.ofNullable(previous)
+                .filter(known -> known.startedAtMillis() < incarnation.startedAtMillis());
     }
 
     /** Returns the latest incarnation of an id. */
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/LeaveOutcome.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/LeaveOutcome.java
@@ -25,7 +25,8 @@
  * @param suspension who takes nothing new because of it, where that isn't sure
  * @param needsPropagation whether others have to hear of it
  */
-public record LeaveOutcome(String target, Result result, Optional<Suspension> suspension, boolean needsPropagation) {
+public record LeaveOutcome(
+        String target, Result result, Optional<Suspension> suspension, boolean needsPropagation) {
     /** Returns whether the target itself is gone for good. */
     public boolean hasDeparted() {
         return result != Result.SUSPENDED;
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/ReportRules.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/ReportRules.java
@@ -73,7 +73,9 @@
                         && report.slots() <= MAX_SLOTS
                         && isInRange(report.coldRemainingMillis())
                         && (report.isRestored() || isInRange(report.sequence()));
-        return numbersAreInRange ? findViolation(report.weights()) : Optional.of(ResultCode.REPORT_RANGE);
+        return numbersAreInRange
+                ? findViolation(report.weights())
+                : Optional.of(ResultCode.REPORT_RANGE);
     }
 
     /** Returns the first rule that is broken by what a target says of the weights it holds. */
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/Suspension.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/Suspension.java
@@ -20,9 +20,10 @@
  * its predecessor. Until it is known whose it was, the present one takes no new requests.
  *
  * @param target the key of the incarnation, the plain id if it isn't known which one there is
- * @param leaveReceivedAt when the leave was told, in milliseconds of this instance's monotonic clock
- * @param coversSuccessor whether the next incarnation may have left, too: its reports may come after its
- *     leave, and the one before it was silent when the leave came
+ * @param leaveReceivedAt when the leave was told, in milliseconds of this instance's monotonic
+ *     clock
+ * @param coversSuccessor whether the next incarnation may have left, too: its reports may come
+ *     after its leave, and the one before it was silent when the leave came
  */
 public record Suspension(String target, long leaveReceivedAt, boolean coversSuccessor) {
     /** Words of targets come late by seconds: who is heard after this is sure to live. */
@@ -41,12 +42,14 @@
 
     /** Returns the suspension by a leave of whoever has an id where an incarnation is known. */
     static Suspension forIncarnation(String target, long latestReportAt, long leaveReceivedAt) {
-        return new Suspension(target, leaveReceivedAt, leaveReceivedAt - latestReportAt > RECENT_REPORT_MILLIS);
+        return new Suspension(
+                target, leaveReceivedAt, leaveReceivedAt - latestReportAt > RECENT_REPORT_MILLIS);
     }
 
     /** Returns the same suspension of an incarnation that was told of later. */
     Suspension movedTo(Incarnation successor, long seenAt) {
-        boolean wasSilent = seenAt <= leaveReceivedAt && leaveReceivedAt - seenAt > RECENT_REPORT_MILLIS;
+        boolean wasSilent =
+                seenAt <= leaveReceivedAt && leaveReceivedAt - seenAt > RECENT_REPORT_MILLIS;
         return new Suspension(successor.key(), leaveReceivedAt, coversSuccessor && wasSilent);
     }
 
@@ -62,8 +65,12 @@
 
     /** Returns whether this tells something that another one of the same id doesn't. */
     boolean addsInformationTo(Suspension known) {
-        boolean isLaterIncarnation = incarnation().startedAtMillis() > known.incarnation().startedAtMillis();
-        boolean addsSuccessor = target.equals(known.target) && coversSuccessor && !known.coversSuccessor;
-        return isLaterIncarnation || addsSuccessor || leaveReceivedAt - known.leaveReceivedAt > DUPLICATE_LEAVE_MILLIS;
+        boolean isLaterIncarnation =
+                incarnation().startedAtMillis() > known.incarnation().startedAtMillis();
+        boolean addsSuccessor =
+                target.equals(known.target) && coversSuccessor && !known.coversSuccessor;
+        return isLaterIncarnation
+                || addsSuccessor
+                || leaveReceivedAt - known.leaveReceivedAt > DUPLICATE_LEAVE_MILLIS;
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/Suspensions.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/Suspensions.java
@@ -58,7 +58,8 @@
     }
 
     void expire(long now) {
-        mById.values().removeIf(suspension -> now - suspension.leaveReceivedAt() > RETENTION_MILLIS);
+        mById.values()
+                .removeIf(suspension -> now - suspension.leaveReceivedAt() > RETENTION_MILLIS);
     }
 
     Collection<Suspension> all() {
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/TargetRegistry.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/TargetRegistry.java
@@ -72,8 +72,11 @@
      */
     public boolean onReport(TargetReport received, long seenAt) {
         TargetReport report =
-                mSuspensions.isSuspended(received.incarnation(), seenAt) ? received.asLeaving() : received;
-        if (mDepartures.precedesDeparture(report) || mLatestIncarnations.isSuperseded(report.incarnation())) {
+                mSuspensions.isSuspended(received.incarnation(), seenAt)
+                        ? received.asLeaving()
+                        : received;
+        if (mDepartures.precedesDeparture(report)
+                || mLatestIncarnations.isSuperseded(report.incarnation())) {
             return false;
         }
         Entry known = mEntries.get(report.id());
@@ -177,7 +180,9 @@
             // Others may know an incarnation of the id, and this process may soon be told of it.
             boolean isKnown = mEntries.containsKey(latestKey);
             Optional<Suspension> idSuspension =
-                    isKnown ? Optional.empty() : Optional.of(Suspension.forUnknownId(latestKey, now));
+                    isKnown
+                            ? Optional.empty()
+                            : Optional.of(Suspension.forUnknownId(latestKey, now));
             return recordLeave(latestKey, idSuspension, now);
         }
         Entry known = mEntries.get(latestKey);
@@ -187,9 +192,11 @@
         Suspension suspension = Suspension.forIncarnation(latestKey, latestReportAt, now);
         if (known != null && mayBeFromPredecessor(known, now)) {
             boolean isNew = onSuspension(suspension);
-            return new LeaveOutcome(latestKey, LeaveOutcome.Result.SUSPENDED, Optional.of(suspension), isNew);
+            return new LeaveOutcome(
+                    latestKey, LeaveOutcome.Result.SUSPENDED, Optional.of(suspension), isNew);
         }
-        return recordLeave(latestKey, Optional.of(suspension).filter(Suspension::coversSuccessor), now);
+        return recordLeave(
+                latestKey, Optional.of(suspension).filter(Suspension::coversSuccessor), now);
     }
 
     private LeaveOutcome recordLeave(String target, Optional<Suspension> suspension, long now) {
@@ -202,7 +209,9 @@
                         ? LeaveOutcome.Result.ENDED
                         : isUnknownId
                                 ? LeaveOutcome.Result.UNPLACED
-                                : isNewDeparture ? LeaveOutcome.Result.UNKNOWN : LeaveOutcome.Result.KNOWN;
+                                : isNewDeparture
+                                        ? LeaveOutcome.Result.UNKNOWN
+                                        : LeaveOutcome.Result.KNOWN;
         return new LeaveOutcome(target, result, suspension, isNewDeparture || isNewSuspension);
     }
 
@@ -211,7 +220,9 @@
      * place, or the same leave came to another process, where it had.
      */
     private boolean mayBeFromPredecessor(Entry known, long now) {
-        boolean isRecentSuccessor = known.mReplacedEarlier && now - known.mFirstSeenAt < Suspension.MAX_MESSAGE_DELAY_MILLIS;
+        boolean isRecentSuccessor =
+                known.mReplacedEarlier
+                        && now - known.mFirstSeenAt < Suspension.MAX_MESSAGE_DELAY_MILLIS;
         return isRecentSuccessor || mSuspensions.isSuspended(known.mReport.incarnation(), now);
     }
 
@@ -222,7 +233,8 @@
     public boolean onSuspension(Suspension received) {
         Incarnation incarnation = received.incarnation();
         String target = incarnation.hasStart() ? received.target() : latestKey(received.target());
-        Suspension suspension = new Suspension(target, received.leaveReceivedAt(), received.coversSuccessor());
+        Suspension suspension =
+                new Suspension(target, received.leaveReceivedAt(), received.coversSuccessor());
         supersedeEarlier(suspension.incarnation());
         boolean isNew = mSuspensions.add(suspension);
         Entry known = mEntries.get(target);
@@ -329,7 +341,9 @@
     /** Forgets what is only known to tell late words from others. */
     public void expireTombstones(long now) {
         mDepartures.expire(TOMBSTONE_RETENTION_MILLIS, now);
-        mDisplaced.values().removeIf(known -> now - known.mDisplacedAt > TOMBSTONE_RETENTION_MILLIS);
+        mDisplaced
+                .values()
+                .removeIf(known -> now - known.mDisplacedAt > TOMBSTONE_RETENTION_MILLIS);
         mLapsed.values().removeIf(known -> now - known.lapsedAt() > TOMBSTONE_RETENTION_MILLIS);
         mSuspensions.expire(now);
     }
@@ -393,7 +407,8 @@
      * gone.
      */
     public List<Departure> takeInferredDepartures() {
-        List<Departure> departures = mInferredDepartures.stream().flatMap(id -> mDepartures.find(id).stream()).toList();
+        List<Departure> departures =
+                mInferredDepartures.stream().flatMap(id -> mDepartures.find(id).stream()).toList();
         mInferredDepartures.clear();
         return departures;
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/instance/ControlLinkPlanner.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/instance/ControlLinkPlanner.java
@@ -63,7 +63,8 @@
     private long mConfirmedAt;
     private long mLastListAt;
 
-    private ControlLinkPlanner(String failureDomain, int toleratedLosses, int startOffset, long now) {
+    private ControlLinkPlanner(
+            String failureDomain, int toleratedLosses, int startOffset, long now) {
         mFailureDomain = failureDomain;
         mMaxLinks = NORMAL_LINKS + toleratedLosses;
         mStartOffset = startOffset;
@@ -157,12 +158,14 @@
     }
 
     private void expireAddresses(long now) {
-        mAddresses.entrySet()
+        mAddresses
+                .entrySet()
                 .removeIf(
                         entry ->
                                 !entry.getValue().mIsSeed
                                         && !mLinks.containsKey(entry.getKey())
-                                        && now - entry.getValue().mListedAt > ADDRESS_RETENTION_MILLIS);
+                                        && now - entry.getValue().mListedAt
+                                                > ADDRESS_RETENTION_MILLIS);
     }
 
     private List<String> closeUnconfirmed(long now) {
@@ -199,7 +202,10 @@
         long confirmed = mLinks.values().stream().filter(link -> link.isConfirmed(now)).count();
         boolean settled = confirmed == NORMAL_LINKS && mLinks.size() == NORMAL_LINKS;
         boolean hasOwnDomainLink = mLinks.keySet().stream().anyMatch(this::isInOwnDomain);
-        return settled && !hasOwnDomainLink && mAddresses.keySet().stream().anyMatch(address -> mayBeInOwnDomain(address, now))
+        return settled
+                        && !hasOwnDomainLink
+                        && mAddresses.keySet().stream()
+                                .anyMatch(address -> mayBeInOwnDomain(address, now))
                 ? NORMAL_LINKS + 1
                 : Math.max(NORMAL_LINKS, mLinks.size());
     }
@@ -228,9 +234,11 @@
         }
         boolean hasOwnDomainLink = mLinks.keySet().stream().anyMatch(this::isInOwnDomain);
         Comparator<String> preference =
-                Comparator.<String, Boolean>comparing(address -> mAddresses.get(address).hasFailed(now))
+                Comparator.<String, Boolean>comparing(
+                                address -> mAddresses.get(address).hasFailed(now))
                         .thenComparing(address -> isUnlisted(mAddresses.get(address)))
-                        .thenComparing(address -> !hasOwnDomainLink && !mayBeInOwnDomain(address, now))
+                        .thenComparing(
+                                address -> !hasOwnDomainLink && !mayBeInOwnDomain(address, now))
                         .thenComparing(address -> mAddresses.get(address).mTriedAt);
         return unlinked.stream().min(preference);
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/manifest/Limits.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/manifest/Limits.java
@@ -23,7 +23,8 @@
  * @param headerTimeoutMillis within what time a request's headers must be here
  * @param idleTimeoutMillis how long a connection may be without a request
  */
-public record Limits(int maxHeaderBytes, int maxBodyBytes, long headerTimeoutMillis, long idleTimeoutMillis) {
+public record Limits(
+        int maxHeaderBytes, int maxBodyBytes, long headerTimeoutMillis, long idleTimeoutMillis) {
     /** Returns what holds as long as no manifest says otherwise. */
     public static Limits defaults() {
         return new Limits(16 << 10, 4 << 20, 3000, 15_000);
--- a/quilldyke-core/src/main/java/org/quilldyke/manifest/Service.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/manifest/Service.java
@@ -66,5 +66,8 @@
      * @param linkMegabitsPerSecond the speed of its link, in megabits a second
      */
     public record KvStore(
-            String address, String failureDomain, long kvCapacityTokens, double linkMegabitsPerSecond) {}
+            String address,
+            String failureDomain,
+            long kvCapacityTokens,
+            double linkMegabitsPerSecond) {}
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/CacheView.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/CacheView.java
@@ -80,7 +80,8 @@
     /** Takes a prompt that is sent. */
     void addExpected(String salt, Prompt prompt, long now) {
         for (Prompt.Part part : prompt.parts()) {
-            mPartExpiry.merge(CacheKeys.of(salt, part.id()), now + EXPECTATION_TIMEOUT_MILLIS, Math::max);
+            mPartExpiry.merge(
+                    CacheKeys.of(salt, part.id()), now + EXPECTATION_TIMEOUT_MILLIS, Math::max);
         }
     }
 
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/CostModel.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/CostModel.java
@@ -27,7 +27,10 @@
  * @param stepMillisPerRequest how much longer with each further one
  */
 public record CostModel(
-        double prefillTokensPerMilli, double firstTokenOverheadMillis, double stepMillis, double stepMillisPerRequest) {
+        double prefillTokensPerMilli,
+        double firstTokenOverheadMillis,
+        double stepMillis,
+        double stepMillisPerRequest) {
     /** A token of 18 KB over an engine's link of 370 to 550 Gbit/s, between failure domains. */
     public static final double ENGINE_FETCH_MILLIS_PER_TOKEN = 0.001;
 
@@ -71,7 +74,8 @@
 
     /** Returns how long an engine is expected to take for an event if none of its was seen. */
     public double defaultEventIntervalMillis(int running) {
-        return UNKNOWN_PREFILL_FACTOR * (IDLE_EVENT_INTERVAL_MILLIS + TOKENS_PER_EVENT * stepMillisPerRequest * running);
+        return UNKNOWN_PREFILL_FACTOR
+                * (IDLE_EVENT_INTERVAL_MILLIS + TOKENS_PER_EVENT * stepMillisPerRequest * running);
     }
 
     private double stepMillis(int running) {
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/EventIntervalTracker.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/EventIntervalTracker.java
@@ -62,7 +62,9 @@
     double intervalMillis(double expectedMillis, long now) {
         double measuredWeight = Math.pow(0.5, (now - mLastEventAt) / BLEND_HALF_LIFE_MILLIS);
         OptionalDouble measured = intervalMillis(now);
-        return measured.isEmpty() ? expectedMillis : expectedMillis + measuredWeight * (measured.getAsDouble() - expectedMillis);
+        return measured.isEmpty()
+                ? expectedMillis
+                : expectedMillis + measuredWeight * (measured.getAsDouble() - expectedMillis);
     }
 
     private boolean isExpired(long now) {
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/KvSource.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/KvSource.java
@@ -27,7 +27,8 @@
 record KvSource(
         String address, int tokens, boolean isStore, double millisPerToken, double waitMillis) {
     static KvSource store(String address, int tokens, double waitMillis) {
-        return new KvSource(address, tokens, true, CostModel.STORE_FETCH_MILLIS_PER_TOKEN, waitMillis);
+        return new KvSource(
+                address, tokens, true, CostModel.STORE_FETCH_MILLIS_PER_TOKEN, waitMillis);
     }
 
     static KvSource engine(String address, int tokens) {
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/LoadShedding.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/LoadShedding.java
@@ -37,6 +37,7 @@
      * @param cachedShare how much of it is cached at its best target, from 0 to 1
      */
     static boolean rejects(double waitMillis, double cachedShare) {
-        return waitMillis > MAX_UNCACHED_WAIT_MILLIS + EXTRA_CACHED_WAIT_MILLIS * cachedShare * cachedShare;
+        return waitMillis
+                > MAX_UNCACHED_WAIT_MILLIS + EXTRA_CACHED_WAIT_MILLIS * cachedShare * cachedShare;
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/LoadTable.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/LoadTable.java
@@ -92,7 +92,9 @@
         Load load = mLoads.get(target);
         return load == null
                 ? 0
-                : Math.max(load.mReportedRequests + load.mUnreportedRequests, load.mOpenRequests.size());
+                : Math.max(
+                        load.mReportedRequests + load.mUnreportedRequests,
+                        load.mOpenRequests.size());
     }
 
     /** Returns the requests that are thought to wait for their first token at the target. */
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/PlacementCost.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/PlacementCost.java
@@ -77,7 +77,10 @@
         if (fraction <= LOW_RISK_FRACTION) {
             return LOW_RISK_COST_TOKENS * fraction / LOW_RISK_FRACTION;
         }
-        return LOW_RISK_COST_TOKENS + (LATE_COST_TOKENS - LOW_RISK_COST_TOKENS) * (fraction - LOW_RISK_FRACTION) / (1 - LOW_RISK_FRACTION);
+        return LOW_RISK_COST_TOKENS
+                + (LATE_COST_TOKENS - LOW_RISK_COST_TOKENS)
+                        * (fraction - LOW_RISK_FRACTION)
+                        / (1 - LOW_RISK_FRACTION);
     }
 
     /**
@@ -86,12 +89,14 @@
      * @param sharedTokens how many tokens others may share
      * @param cachedTokens how many of the prompt's tokens the engine keeps
      * @param heldTokens how many it has once it has fetched what others keep
-     * @param preferred whether all instances send there what lacks the same part: what is read then, is
-     *     read for the first time
+     * @param preferred whether all instances send there what lacks the same part: what is read
+     *     then, is read for the first time
      */
     static double prefill(int sharedTokens, int cachedTokens, int heldTokens, boolean preferred) {
         int copiedTokens = Math.max(0, sharedTokens - cachedTokens);
         int recomputedTokens = Math.max(0, sharedTokens - heldTokens);
-        return preferred ? PREFERRED_TARGET_COPY_COST_PER_TOKEN * copiedTokens : recomputedTokens + COPY_COST_PER_TOKEN * copiedTokens;
+        return preferred
+                ? PREFERRED_TARGET_COPY_COST_PER_TOKEN * copiedTokens
+                : recomputedTokens + COPY_COST_PER_TOKEN * copiedTokens;
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/PromptCacheLocations.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/PromptCacheLocations.java
@@ -90,14 +90,17 @@
     Optional<KvSource> transferSource(TargetState target, int cachedTokens) {
         VersionLocations locations = locationsFor(target);
         int minSourceTokens = cachedTokens + MIN_FETCHED_TOKENS;
-        if (locations.mMostTokens >= minSourceTokens && locations.mMostTokens >= locations.mStoredTokens) {
+        if (locations.mMostTokens >= minSourceTokens
+                && locations.mMostTokens >= locations.mStoredTokens) {
             TargetState holder = locations.holderFor(target);
             return Optional.of(KvSource.engine(holder.address(), locations.mMostTokens));
         }
         return cachedTokens < mSharedTokens && locations.mStoredTokens >= minSourceTokens
                 ? Optional.of(
                         KvSource.store(
-                                mStore.address(), locations.mStoredTokens, mStore.excessMillis(mNow)))
+                                mStore.address(),
+                                locations.mStoredTokens,
+                                mStore.excessMillis(mNow)))
                 : Optional.empty();
     }
 
@@ -109,7 +112,10 @@
      */
     boolean isPreferredTarget(TargetState target, int heldTokens) {
         long key = CacheKeys.affinityKey(mRequest.cacheScope(), mPrompt, heldTokens);
-        long highest = locationsFor(target).mHighestRanks.computeIfAbsent(key, k -> highestRank(target, k));
+        long highest =
+                locationsFor(target)
+                        .mHighestRanks
+                        .computeIfAbsent(key, k -> highestRank(target, k));
         return Long.compareUnsigned(highest, target.rank(key)) <= 0;
     }
 
@@ -173,12 +179,15 @@
             }
             if (tokens == mMostTokens) {
                 mAllHolders.add(holder);
-                mHoldersByDomain.computeIfAbsent(holder.failureDomain(), d -> new ArrayList<>()).add(holder);
+                mHoldersByDomain
+                        .computeIfAbsent(holder.failureDomain(), d -> new ArrayList<>())
+                        .add(holder);
             }
         }
 
         TargetState holderFor(TargetState target) {
-            List<TargetState> holders = mHoldersByDomain.getOrDefault(target.failureDomain(), mAllHolders);
+            List<TargetState> holders =
+                    mHoldersByDomain.getOrDefault(target.failureDomain(), mAllHolders);
             return holders.get(Math.floorMod(target.id().hashCode(), holders.size()));
         }
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/Router.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/Router.java
@@ -139,7 +139,8 @@
         int matched = mIndex.matchedBlocks(target.id(), target.incarnation(), chain);
         int cachedUnits = matched * BlockChain.BLOCK_UNITS;
         double unitsPerMilli = unitsPerMilli(target);
-        double queueMillis = mLoads.queuedUnits(target.id()) / unitsPerMilli + slotWaitMillis(target);
+        double queueMillis =
+                mLoads.queuedUnits(target.id()) / unitsPerMilli + slotWaitMillis(target);
         int requests = mLoads.requests(target.id());
         boolean full = requests >= requestLimit(target);
         double prefillMillis = (chain.units() - cachedUnits) / unitsPerMilli;
@@ -147,8 +148,10 @@
         double cost =
                 urgent
                         ? mCostProfile.cost(URGENT_QUEUE_SHARE * queueMillis, prefillMillis, 0)
-                        : mCostProfile.cost(queueMillis, prefillMillis, mLoads.waiting(target.id()));
-        return new ScoredCandidate(candidate, cachedUnits, queueMillis, prefillMillis, cost, rank(candidate), full);
+                        : mCostProfile.cost(
+                                queueMillis, prefillMillis, mLoads.waiting(target.id()));
+        return new ScoredCandidate(
+                candidate, cachedUnits, queueMillis, prefillMillis, cost, rank(candidate), full);
     }
 
     /** Returns the predicted wait for a slot, from how many requests are ahead of it. */
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/TargetScorer.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/TargetScorer.java
@@ -85,7 +85,10 @@
      * @param locations who keeps what of its prompt, {@link #cacheLocations}
      */
     ScoredTarget score(
-            TargetState state, ForwardRequest request, Optional<PromptCacheLocations> locations, long now) {
+            TargetState state,
+            ForwardRequest request,
+            Optional<PromptCacheLocations> locations,
+            long now) {
         double noise = mRandom.nextDouble() * TIE_BREAK_NOISE;
         if (locations.isEmpty()) {
             double domain = state.isInFailureDomain(mFailureDomain) ? 0 : CROSS_DOMAIN_COST;
@@ -99,7 +102,8 @@
 
     /** Returns how long an event takes at a target: as seen here, or else as expected. */
     double eventIntervalMillis(TargetState state, long now) {
-        return state.eventIntervalMillis(mCostModel.defaultEventIntervalMillis(state.openRequests()), now);
+        return state.eventIntervalMillis(
+                mCostModel.defaultEventIntervalMillis(state.openRequests()), now);
     }
 
     private ScoredTarget scoreEngine(
@@ -118,8 +122,12 @@
                 mCostModel.waitMillis(state.backlogTokens(), state.openRequests(), state.slots())
                         + state.excessMillis(now)
                         + source.map(KvSource::waitMillis).orElse(0.0);
-        double expectedMillis = waitMillis + fetchMillis + mCostModel.firstTokenMillis(missingTokens, state.openRequests());
-        double ownPrefillMillis = mCostModel.prefillMillis(prompt.tokens() - locations.sharedTokens());
+        double expectedMillis =
+                waitMillis
+                        + fetchMillis
+                        + mCostModel.firstTokenMillis(missingTokens, state.openRequests());
+        double ownPrefillMillis =
+                mCostModel.prefillMillis(prompt.tokens() - locations.sharedTokens());
         double exemptMillis = Admission.discountedPrefillMillis(request, ownPrefillMillis);
         boolean outdated = outdatedMillis(state, prompt, now) > OUTDATED_WEIGHTS_MILLIS;
         double costToOthers = mCostModel.costToOthers(missingTokens, state.openRequests());
@@ -171,11 +179,13 @@
         return mNamedWeights.outdatedMillis(model, state.weights(model), now);
     }
 
-    private static double prefillCost(TargetState state, PromptCacheLocations locations, int cachedTokens, int heldTokens) {
+    private static double prefillCost(
+            TargetState state, PromptCacheLocations locations, int cachedTokens, int heldTokens) {
         int sharedTokens = locations.sharedTokens();
         // A part that nobody keeps has one home, and so has a subject that is brought back.
         int presentTokens = heldTokens < sharedTokens ? heldTokens : cachedTokens;
-        boolean preferred = cachedTokens < sharedTokens && locations.isPreferredTarget(state, presentTokens);
+        boolean preferred =
+                cachedTokens < sharedTokens && locations.isPreferredTarget(state, presentTokens);
         return PlacementCost.prefill(sharedTokens, cachedTokens, heldTokens, preferred);
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/TargetSelector.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/TargetSelector.java
@@ -193,7 +193,8 @@
     public void onInstanceRank(InstanceRank rank, long now) {
         if (!rank.equals(mInstanceRank)) {
             mInstanceRank = rank;
-            mTargets.values().forEach(state -> state.onInstanceRank(rank, mRandom.nextDouble(), now));
+            mTargets.values()
+                    .forEach(state -> state.onInstanceRank(rank, mRandom.nextDouble(), now));
         }
     }
 
@@ -246,7 +247,10 @@
         }
         scored.sort(
                 Comparator.comparingDouble(
-                        r -> r.expectedMillis() + remainingEvents * mScorer.eventIntervalMillis(r.state(), now)));
+                        r ->
+                                r.expectedMillis()
+                                        + remainingEvents
+                                                * mScorer.eventIntervalMillis(r.state(), now)));
         return scored.stream()
                 .findFirst()
                 .map(
@@ -257,7 +261,9 @@
     }
 
     private Choice choiceOf(
-            ScoredTarget best, List<ScoredTarget> scored, Optional<PromptCacheLocations> locations) {
+            ScoredTarget best,
+            List<ScoredTarget> scored,
+            Optional<PromptCacheLocations> locations) {
         ScoredTarget runnerUp = scored.stream().filter(r -> r != best).findFirst().orElse(null);
         return new Choice(
                 best.state().id(),
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/TargetState.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/TargetState.java
@@ -138,7 +138,8 @@
         return mReport.service().equals(service)
                 && !isLeaving()
                 && !isLoading(now)
-                && (!mAdvertisedLimit.isInForce(now) || mLimitShare != null && mLimitShare.hasPermit(now));
+                && (!mAdvertisedLimit.isInForce(now)
+                        || mLimitShare != null && mLimitShare.hasPermit(now));
     }
 
     /**
@@ -166,7 +167,8 @@
         if (!mAdvertisedLimit.isSet() || !rank.isSharer(mIdHash)) {
             mLimitShare = null;
         } else if (mLimitShare == null) {
-            mLimitShare = RateLimitShare.of(mAdvertisedLimit.perSecond(), rank.sharers(), phase, now);
+            mLimitShare =
+                    RateLimitShare.of(mAdvertisedLimit.perSecond(), rank.sharers(), phase, now);
         } else {
             mLimitShare.onLimitChange(mAdvertisedLimit.perSecond(), rank.sharers(), now);
         }
@@ -198,7 +200,8 @@
     boolean isUnhealthy(long now) {
         boolean receivedRecently = receivedWithin(UNRESPONSIVE_MILLIS, now);
         boolean unresponsive = mOwnRequests > 0 && now - mAwaitingDataSince > UNRESPONSIVE_MILLIS;
-        return now < mUnhealthyUntil || !receivedRecently && (unresponsive || !mReachableFromControl);
+        return now < mUnhealthyUntil
+                || !receivedRecently && (unresponsive || !mReachableFromControl);
     }
 
     /** Notes whether the target answers the process that watches its cache. */
--- a/quilldyke-core/src/main/java/org/quilldyke/weights/EngineFleet.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/weights/EngineFleet.java
@@ -25,10 +25,13 @@
  *
  * @param engines the live engines
  * @param unresponsive the ids of those that don't answer just now: they are left alone
- * @param openRequestCounts how many requests each engine has open, by id; those without any may be missing
+ * @param openRequestCounts how many requests each engine has open, by id; those without any may be
+ *     missing
  */
 public record EngineFleet(
-        List<TargetReport> engines, Set<String> unresponsive, Map<String, Integer> openRequestCounts) {
+        List<TargetReport> engines,
+        Set<String> unresponsive,
+        Map<String, Integer> openRequestCounts) {
     /** Copies all parts. */
     public EngineFleet {
         engines = List.copyOf(engines);
--- a/quilldyke-core/src/main/java/org/quilldyke/weights/EngineStatus.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/weights/EngineStatus.java
@@ -23,9 +23,11 @@
  * @param busy whether it carries out an order
  * @param revision the number of orders that it has accepted since its start
  * @param weights the version of each model's weights that it holds
- * @param startedAtMillis the birth that it tells, {@link org.quilldyke.engine.Incarnation#UNKNOWN_START} if none
+ * @param startedAtMillis the birth that it tells, {@link
+ *     org.quilldyke.engine.Incarnation#UNKNOWN_START} if none
  */
-public record EngineStatus(boolean busy, long revision, Map<String, Long> weights, long startedAtMillis) {
+public record EngineStatus(
+        boolean busy, long revision, Map<String, Long> weights, long startedAtMillis) {
     /** Copies the weights. */
     public EngineStatus {
         weights = Map.copyOf(weights);
--- a/quilldyke-core/src/main/java/org/quilldyke/weights/LoadPlanner.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/weights/LoadPlanner.java
@@ -72,7 +72,11 @@
     public List<LoadAction> stop() {
         List<LoadAction> actions = new ArrayList<>();
         mJobs.values()
-                .forEach(job -> actions.add(new LoadAction.ReturnToService(job.mTarget, job.mModel, 0)));
+                .forEach(
+                        job ->
+                                actions.add(
+                                        new LoadAction.ReturnToService(
+                                                job.mTarget, job.mModel, 0)));
         mJobs.clear();
         return actions;
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/weights/OrderOutcome.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/weights/OrderOutcome.java
@@ -35,7 +35,8 @@
      * gave it.
      *
      * @param orderedKey the key of the incarnation that was ordered
-     * @param startedAtMillis the birth that the answer tells, {@link Incarnation#UNKNOWN_START} if none
+     * @param startedAtMillis the birth that the answer tells, {@link Incarnation#UNKNOWN_START} if
+     *     none
      */
     public OrderOutcome ifFrom(String orderedKey, long startedAtMillis) {
         return Incarnation.ofKey(orderedKey).mayMatch(startedAtMillis) ? this : UNKNOWN;
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/ForwardingTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/ForwardingTest.java
@@ -39,7 +39,8 @@
     private static final AnswerHead FAILED = new AnswerHead(500, false, false, true, false);
     private static final AnswerHead UNSIGNED = new AnswerHead(200, false, false, false, false);
 
-    private final TargetSelector mTargets = TargetSelector.create("z", 7500, new SplittableRandom(1));
+    private final TargetSelector mTargets =
+            TargetSelector.create("z", 7500, new SplittableRandom(1));
     private final ShutdownAdmission mShutdown = ShutdownAdmission.create();
     private final SuspectRequests mSuspects = SuspectRequests.create();
     private ServiceRetryBudget mRetryBudget = ServiceRetryBudget.create(0.2, 100, 10_000, 1);
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/ShutdownMigrationTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/ShutdownMigrationTest.java
@@ -40,7 +40,8 @@
     private static final AnswerHead STREAM = new AnswerHead(200, false, false, true, true);
     private static final AnswerHead REFUSED = new AnswerHead(503, true, false, false, false);
 
-    private final TargetSelector mTargets = TargetSelector.create("z", 7500, new SplittableRandom(1));
+    private final TargetSelector mTargets =
+            TargetSelector.create("z", 7500, new SplittableRandom(1));
     private final ShutdownAdmission mShutdown = ShutdownAdmission.create();
     private ServiceRetryBudget mRetryBudget = ServiceRetryBudget.create(0.2, 100, 10_000, 1);
     private boolean mResumable = true;
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/SuccessorTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/SuccessorTest.java
@@ -36,7 +36,8 @@
     private static final AnswerHead REFUSED = new AnswerHead(503, true, false, false, false);
     private static final int TIMEOUT_MILLIS = 15_000;
 
-    private final TargetSelector mTargets = TargetSelector.create("z", 7500, new SplittableRandom(1));
+    private final TargetSelector mTargets =
+            TargetSelector.create("z", 7500, new SplittableRandom(1));
     private final ServiceRetryBudget mRetryBudget = ServiceRetryBudget.create(0, 1000, 100_000, 1);
 
     @BeforeEach
--- a/quilldyke-core/src/test/java/org/quilldyke/control/ControlStateTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/control/ControlStateTest.java
@@ -44,7 +44,8 @@
         CommandResult first = stateIntent("1", "a", retire("e1"));
         CommandResult confirmed = confirm("1");
 
-        assertThat(stateIntent("1", "a", retire("e1")).plan().steps()).isEqualTo(first.plan().steps());
+        assertThat(stateIntent("1", "a", retire("e1")).plan().steps())
+                .isEqualTo(first.plan().steps());
         assertThat(confirm("1").plan()).isEqualTo(confirmed.plan());
         assertThat(mState.configuration().version()).isEqualTo(1);
     }
@@ -75,7 +76,8 @@
         stateIntent("1", "a", new Intent.PutOrganisation("hall", List.of(HASH), 0));
         confirm("1");
 
-        CommandResult result = stateIntent("2", "b", new Intent.PutOrganisation("x", List.of(HASH), 0));
+        CommandResult result =
+                stateIntent("2", "b", new Intent.PutOrganisation("x", List.of(HASH), 0));
 
         assertThat(result.code()).isEqualTo(ResultCode.INTENT_INVALID);
         assertThat(result.plan()).isNull();
@@ -129,7 +131,8 @@
         assertThat(claim("k", "f", "r3", 1010).isOk()).isTrue();
     }
 
-    private CommandResult stateIntent(String number, String id, Intent intent) throws QuilldykeException {
+    private CommandResult stateIntent(String number, String id, Intent intent)
+            throws QuilldykeException {
         return apply(new Command.StateIntent(number, id, "op", intent, 4, 0));
     }
 
--- a/quilldyke-core/src/test/java/org/quilldyke/control/SlowDiskElectionTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/control/SlowDiskElectionTest.java
@@ -99,7 +99,8 @@
 
     private record Delivery(String from, String to, PeerMessage message) {}
 
-    private record Write(long doneAt, Ballot ballot, long index, long epoch, List<Delivery> heldDeliveries) {}
+    private record Write(
+            long doneAt, Ballot ballot, long index, long epoch, List<Delivery> heldDeliveries) {}
 
     /** A replica whose writes end one after the other, as those of a disk do. */
     private final class Node {
--- a/quilldyke-core/src/test/java/org/quilldyke/control/StartUpVoteDelayTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/control/StartUpVoteDelayTest.java
@@ -81,7 +81,8 @@
         }
         long now = connectedAt;
         List<Delivery> deliveries = new ArrayList<>();
-        while (replicas.values().stream().noneMatch(Replica::isLeader) && now < connectedAt + 1000) {
+        while (replicas.values().stream().noneMatch(Replica::isLeader)
+                && now < connectedAt + 1000) {
             now++;
             List<Delivery> due = deliveries;
             deliveries = new ArrayList<>();
--- a/quilldyke-core/src/test/java/org/quilldyke/control/UnresponsiveStandbyTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/control/UnresponsiveStandbyTest.java
@@ -69,7 +69,8 @@
             leaderSince = leader == previousLeader ? leaderSince : now;
             previousLeader = leader;
             if (leader != null) {
-                Optional<Membership> next = planner.nextMembership(leader, leader.leader(), leaderSince, now);
+                Optional<Membership> next =
+                        planner.nextMembership(leader, leader.leader(), leaderSince, now);
                 if (next.isPresent()) {
                     mCluster.propose(leader, next.get(), now);
                 }
--- a/quilldyke-core/src/test/java/org/quilldyke/engine/IncarnationTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/engine/IncarnationTest.java
@@ -24,7 +24,8 @@
     void keyContainsIdAndStart() {
         Incarnation incarnation = new Incarnation("i-1", 1_700_000_000_123L);
 
-        assertThat(incarnation.key()).isNotEqualTo(new Incarnation("i-1", 1_700_000_000_124L).key());
+        assertThat(incarnation.key())
+                .isNotEqualTo(new Incarnation("i-1", 1_700_000_000_124L).key());
         assertThat(Incarnation.ofKey(incarnation.key())).isEqualTo(incarnation);
         Incarnation before1970 = new Incarnation("i-1", -5);
         assertThat(Incarnation.ofKey(before1970.key())).isEqualTo(before1970);
--- a/quilldyke-core/src/test/java/org/quilldyke/engine/LatestIncarnationsTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/engine/LatestIncarnationsTest.java
@@ -48,7 +48,8 @@
         mLatest.observe(Incarnation.withoutStart("a"));
 
         assertThat(mLatest.isSuperseded(Incarnation.withoutStart("a"))).isFalse();
-        assertThat(mLatest.observe(new Incarnation("a", -3))).hasValue(Incarnation.withoutStart("a"));
+        assertThat(mLatest.observe(new Incarnation("a", -3)))
+                .hasValue(Incarnation.withoutStart("a"));
         assertThat(mLatest.isSuperseded(Incarnation.withoutStart("a"))).isTrue();
     }
 
--- a/quilldyke-core/src/test/java/org/quilldyke/engine/ReportRulesTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/engine/ReportRulesTest.java
@@ -40,17 +40,20 @@
         assertRejected(ResultCode.REPORT_ID, report("", "s", "10.1.2.3:80", 4, 0, 1, 7));
         assertRejected(ResultCode.REPORT_ID, report("a/b", "s", "10.1.2.3:80", 4, 0, 1, 7));
         assertRejected(ResultCode.REPORT_ID, report("i\r\n", "s", "10.1.2.3:80", 4, 0, 1, 7));
-        assertRejected(ResultCode.REPORT_ID, report("x".repeat(129), "s", "10.1.2.3:80", 4, 0, 1, 7));
+        assertRejected(
+                ResultCode.REPORT_ID, report("x".repeat(129), "s", "10.1.2.3:80", 4, 0, 1, 7));
         assertRejected(ResultCode.REPORT_ADDRESS, report("i", "s", "10.1.2.3:0", 4, 0, 1, 7));
         assertRejected(ResultCode.REPORT_ADDRESS, report("i", "s", "host:80", 4, 0, 1, 7));
         assertRejected(ResultCode.REPORT_INVALID, report("i", "", "10.1.2.3:80", 4, 0, 1, 7));
         assertRejected(ResultCode.REPORT_INVALID, report("i", "\ud800", "10.1.2.3:80", 4, 0, 1, 7));
         assertRejected(ResultCode.REPORT_RANGE, report("i", "s", "10.1.2.3:80", 0, 0, 1, 7));
-        assertRejected(ResultCode.REPORT_RANGE, report("i", "s", "10.1.2.3:80", 2_000_000_000, 0, 1, 7));
+        assertRejected(
+                ResultCode.REPORT_RANGE, report("i", "s", "10.1.2.3:80", 2_000_000_000, 0, 1, 7));
         assertRejected(ResultCode.REPORT_RANGE, report("i", "s", "10.1.2.3:80", 4, -1, 1, 7));
         assertRejected(ResultCode.REPORT_RANGE, report("i", "s", "10.1.2.3:80", 4, 0, -1, 7));
         assertRejected(ResultCode.REPORT_RANGE, report("i", "s", "10.1.2.3:80", 4, 0, 1, -2));
-        assertRejected(ResultCode.REPORT_RANGE, report("i", "s", "10.1.2.3:80", 4, 0, 1, Long.MAX_VALUE));
+        assertRejected(
+                ResultCode.REPORT_RANGE, report("i", "s", "10.1.2.3:80", 4, 0, 1, Long.MAX_VALUE));
     }
 
     @Test
@@ -60,7 +63,8 @@
             tooMany.put("m" + i, 1L);
         }
 
-        assertThat(ReportRules.findViolation(tooMany)).isEqualTo(Optional.of(ResultCode.REPORT_RANGE));
+        assertThat(ReportRules.findViolation(tooMany))
+                .isEqualTo(Optional.of(ResultCode.REPORT_RANGE));
         assertThat(ReportRules.findViolation(Map.of("", 1L)))
                 .isEqualTo(Optional.of(ResultCode.REPORT_INVALID));
     }
--- a/quilldyke-core/src/test/java/org/quilldyke/engine/TargetRegistryTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/engine/TargetRegistryTest.java
@@ -304,7 +304,8 @@
         assertThat(mRegistry.onReport(report("a#7", "1:1", 9, false), afterSuspension)).isTrue();
         assertThat(mRegistry.reports().get(0).leaving()).isFalse();
 
-        assertThat(mRegistry.onLeave("a", afterSuspension).result()).isEqualTo(LeaveOutcome.Result.ENDED);
+        assertThat(mRegistry.onLeave("a", afterSuspension).result())
+                .isEqualTo(LeaveOutcome.Result.ENDED);
         assertThat(mRegistry.reports()).isEmpty();
     }
 
@@ -326,7 +327,8 @@
 
         assertThat(mRegistry.reports().get(0).leaving()).isTrue();
         // Made before the leave, and heard after it.
-        mRegistry.onReport(report("a#7", "1:1", 6, false), 4000 + Suspension.MAX_MESSAGE_DELAY_MILLIS);
+        mRegistry.onReport(
+                report("a#7", "1:1", 6, false), 4000 + Suspension.MAX_MESSAGE_DELAY_MILLIS);
         assertThat(mRegistry.reports().get(0).leaving()).isTrue();
     }
 
@@ -519,7 +521,10 @@
     }
 
     private static void assertOutcome(
-            LeaveOutcome outcome, String target, LeaveOutcome.Result result, boolean needsPropagation) {
+            LeaveOutcome outcome,
+            String target,
+            LeaveOutcome.Result result,
+            boolean needsPropagation) {
         assertThat(outcome.target()).isEqualTo(target);
         assertThat(outcome.result()).isEqualTo(result);
         assertThat(outcome.needsPropagation()).isEqualTo(needsPropagation);
--- a/quilldyke-core/src/test/java/org/quilldyke/instance/ControlLinkPlannerTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/instance/ControlLinkPlannerTest.java
@@ -49,7 +49,8 @@
         for (int seed = 0; seed < 2000; seed++) {
             Random random = new Random(seed);
             int toleratedLosses = 1 + random.nextInt(2);
-            List<String> members = start(random, 2 * toleratedLosses + 1 + random.nextInt(4), toleratedLosses);
+            List<String> members =
+                    start(random, 2 * toleratedLosses + 1 + random.nextInt(4), toleratedLosses);
             run(10_000);
             assertThat(mPlanner.unconfirmedMillis(mNow)).isLessThan(1000L);
 
@@ -181,7 +182,8 @@
         for (long until = mNow + millis; mNow < until; mNow += CHECK_INTERVAL_MILLIS) {
             List<String> linked = List.copyOf(mOpenedAt.keySet());
             for (String address : linked) {
-                if (mAlive.contains(address) && mNow - mOpenedAt.get(address) >= CONFIRMATION_DELAY_MILLIS) {
+                if (mAlive.contains(address)
+                        && mNow - mOpenedAt.get(address) >= CONFIRMATION_DELAY_MILLIS) {
                     mPlanner.onConfirmed(address, mNow - CONFIRMATION_DELAY_MILLIS);
                     mPlanner.onReachableAddresses(mAlive, mNow);
                     mPlanner.onFailureDomain(address, mDomains.get(address), mNow);
--- a/quilldyke-core/src/test/java/org/quilldyke/manifest/ManifestRulesTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/manifest/ManifestRulesTest.java
@@ -117,7 +117,8 @@
     }
 
     private static void assertViolation(String expectedPart, Route... routes) {
-        assertThat(ManifestRules.findViolation(manifest(List.of(routes))).orElse("")).contains(expectedPart);
+        assertThat(ManifestRules.findViolation(manifest(List.of(routes))).orElse(""))
+                .contains(expectedPart);
     }
 
     private static Manifest manifest(List<Route> routes) {
--- a/quilldyke-core/src/test/java/org/quilldyke/routing/RateLimitShareTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/routing/RateLimitShareTest.java
@@ -96,7 +96,8 @@
                 for (int seed = 1; seed <= 20; seed++) {
                     int allowed = (int) (1.5 * limit * SPAN_MILLIS / 1000) + MAX_SHARERS;
                     assertThat(maxSentInSpan(sharers, limit, 0, seed)).isAtMost(allowed);
-                    assertThat(maxSentInSpan(sharers, limit, RUN_MILLIS / 2, seed)).isAtMost(allowed);
+                    assertThat(maxSentInSpan(sharers, limit, RUN_MILLIS / 2, seed))
+                            .isAtMost(allowed);
                 }
             }
         }
--- a/quilldyke-core/src/test/java/org/quilldyke/routing/TargetSelectorTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/routing/TargetSelectorTest.java
@@ -48,7 +48,8 @@
                             new Prompt.Part(2, 3800),
                             new Prompt.Part(3, 2700)));
 
-    private final TargetSelector mSelector = TargetSelector.create("z", 7500, new SplittableRandom(1));
+    private final TargetSelector mSelector =
+            TargetSelector.create("z", 7500, new SplittableRandom(1));
 
     @BeforeEach
     void addEngines() {
@@ -100,7 +101,8 @@
         assertThat(choose(1, Set.of(preferred.target())).cacheSource()).isEmpty();
 
         reportCached(preferred.target(), preferred.cacheSalt(), 1, 2);
-        assertThat(choose(2, Set.of(preferred.target())).cacheSource()).isEqualTo(preferred.target() + ":1");
+        assertThat(choose(2, Set.of(preferred.target())).cacheSource())
+                .isEqualTo(preferred.target() + ":1");
     }
 
     /** With many targets and few requests an instance opened a connection for each second one. */
@@ -128,7 +130,10 @@
 
         int connected = 0;
         for (int i = 0; i < 1000; i++) {
-            connected += mSelector.choose(plainRequest(), Set.of(), 0).get().target().equals("a") ? 1 : 0;
+            connected +=
+                    mSelector.choose(plainRequest(), Set.of(), 0).get().target().equals("a")
+                            ? 1
+                            : 0;
         }
 
         assertThat(connected).isIn(Range.closed(800, 950));
@@ -265,7 +270,8 @@
     void nothingIsFetchedFromAnUnhealthyEngine() {
         Choice preferred = choose(0);
         reportCached(preferred.target(), preferred.cacheSalt(), 1, 2);
-        assertThat(choose(1, Set.of(preferred.target())).cacheSource()).isEqualTo(preferred.address());
+        assertThat(choose(1, Set.of(preferred.target())).cacheSource())
+                .isEqualTo(preferred.address());
 
         mSelector.onUnreachable(preferred.target(), 1);
 
--- a/quilldyke-core/src/test/java/org/quilldyke/routing/TargetStateLimitTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/routing/TargetStateLimitTest.java
@@ -71,8 +71,10 @@
         assertThat(receiveLimit(2, ALONE, 0)).isTrue();
         assertThat(receiveLimit(2.1, ALONE, 100)).isFalse();
         assertThat(receiveLimit(3, ALONE, 200)).isTrue();
-        assertThat(receiveLimit(3, ALONE, 200 + AdvertisedLimit.REPUBLISH_INTERVAL_MILLIS - 1)).isFalse();
-        assertThat(receiveLimit(3, ALONE, 200 + AdvertisedLimit.REPUBLISH_INTERVAL_MILLIS)).isTrue();
+        assertThat(receiveLimit(3, ALONE, 200 + AdvertisedLimit.REPUBLISH_INTERVAL_MILLIS - 1))
+                .isFalse();
+        assertThat(receiveLimit(3, ALONE, 200 + AdvertisedLimit.REPUBLISH_INTERVAL_MILLIS))
+                .isTrue();
         assertThat(receiveLimit(AdvertisedLimit.NONE, ALONE, 30_000)).isTrue();
         assertThat(receiveLimit(AdvertisedLimit.NONE, ALONE, 90_000)).isFalse();
     }
--- a/quilldyke-core/src/test/java/org/quilldyke/weights/LoadPlannerTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/weights/LoadPlannerTest.java
@@ -91,7 +91,8 @@
         EngineFleet fleet =
                 new EngineFleet(engines(3), Set.of(), Map.of("e0", 45, "e1", 10, "e2", 30));
 
-        assertThat(mPlanner.tick(fleet, WANTED, 0)).containsExactly(new LoadAction.AnnounceLoading("e1"));
+        assertThat(mPlanner.tick(fleet, WANTED, 0))
+                .containsExactly(new LoadAction.AnnounceLoading("e1"));
     }
 
     @Test
@@ -114,7 +115,11 @@
         startLoading(engines);
         mPlanner.onStatusUnavailable("e0", 60);
 
-        assertThat(mPlanner.tick(fleet(engines, Set.of()), WANTED, LoadPlanner.LOAD_TIMEOUT_MILLIS + 10))
+        assertThat(
+                        mPlanner.tick(
+                                fleet(engines, Set.of()),
+                                WANTED,
+                                LoadPlanner.LOAD_TIMEOUT_MILLIS + 10))
                 .contains(new LoadAction.ReturnToService("e0", "m", 0));
     }
 
--- a/quilldyke-core/src/test/java/org/quilldyke/weights/OrderOutcomeTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/weights/OrderOutcomeTest.java
@@ -32,7 +32,8 @@
 
     @Test
     void answerWithoutAStartTimeIsAccepted() {
-        assertThat(OrderOutcome.HOLDS.ifFrom("e#7", Incarnation.UNKNOWN_START)).isEqualTo(OrderOutcome.HOLDS);
+        assertThat(OrderOutcome.HOLDS.ifFrom("e#7", Incarnation.UNKNOWN_START))
+                .isEqualTo(OrderOutcome.HOLDS);
         assertThat(OrderOutcome.HOLDS.ifFrom("e", 7)).isEqualTo(OrderOutcome.HOLDS);
     }
 }
--- a/quilldyke-daemon/src/main/java/org/quilldyke/daemon/control/ReplicaNode.java
+++ b/quilldyke-daemon/src/main/java/org/quilldyke/daemon/control/ReplicaNode.java
@@ -349,7 +349,11 @@
             return;
         }
         DiskJob job =
-                new DiskJob(ballot, mReplica.lastIndex(), mReplica.truncationEpoch(), new ArrayList<>());
+                new DiskJob(
+                        ballot,
+                        mReplica.lastIndex(),
+                        mReplica.truncationEpoch(),
+                        new ArrayList<>());
         if (ballot != null) {
             mLastBallotJob = job;
         }
@@ -379,7 +383,8 @@
                 toSync = true;
             } else if (action instanceof ReplicaAction.InstallSnapshot i) {
                 mStorage.saveSnapshot(
-                        new Compaction(i.index(), i.term(), i.membership(), i.snapshot(), List.of()));
+                        new Compaction(
+                                i.index(), i.term(), i.membership(), i.snapshot(), List.of()));
             }
         }
         if (toSync) {
--- a/quilldyke-daemon/src/main/java/org/quilldyke/daemon/routing/SharedRouter.java
+++ b/quilldyke-daemon/src/main/java/org/quilldyke/daemon/routing/SharedRouter.java
@@ -26,11 +26,11 @@
 import org.quilldyke.engine.LoadReport;
 import org.quilldyke.engine.TargetRecord;
 import org.quilldyke.routing.Candidate;
+import org.quilldyke.routing.CostProfile;
 import org.quilldyke.routing.Decision;
 import org.quilldyke.routing.LoadTable;
 import org.quilldyke.routing.PrefixIndex;
 import org.quilldyke.routing.Router;
-import org.quilldyke.routing.CostProfile;
 
 /** The router with its views, shared by the traffic threads; one short lock guards it all. */
 public final class SharedRouter {
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/EntrySubscriber.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/EntrySubscriber.java
@@ -43,9 +43,9 @@
 import org.quilldyke.gateway.instance.proto.TargetLoad;
 import org.quilldyke.gateway.instance.proto.Targets;
 import org.quilldyke.manifest.RouteTable;
+import org.quilldyke.routing.AdvertisedLimit;
 import org.quilldyke.routing.CacheUpdate;
 import org.quilldyke.routing.InstanceRank;
-import org.quilldyke.routing.AdvertisedLimit;
 import org.quilldyke.routing.TargetState;
 
 /**
@@ -109,7 +109,8 @@
         Targets.Builder known = Targets.newBuilder();
         for (TargetReport report : mRegistry.reports()) {
             if (!report.isRestored()) {
-                known.addTargets(TargetFrames.encode(report, now - mRegistry.lastSeenAt(report.id())));
+                known.addTargets(
+                        TargetFrames.encode(report, now - mRegistry.lastSeenAt(report.id())));
             }
         }
         // A control process that has lost its memory may hear a late report of who has left.
@@ -177,7 +178,8 @@
             mEntry.targetStates().onOtherInstancesLoad(target.id(), 0, 0);
         }
         for (TargetLoad load : loads) {
-            mEntry.targetStates().onOtherInstancesLoad(load.getTarget(), load.getRequests(), load.getTokens());
+            mEntry.targetStates()
+                    .onOtherInstancesLoad(load.getTarget(), load.getRequests(), load.getTokens());
         }
     }
 
@@ -305,7 +307,11 @@
         }
         if (mRegistry.report(report.id()).isPresent()) {
             long lastHeardAt = mRegistry.lastSeenAt(report.id());
-            mEntry.loop().execute(() -> mEntry.targetStates().onReportOrigin(report.id(), control, lastHeardAt));
+            mEntry.loop()
+                    .execute(
+                            () ->
+                                    mEntry.targetStates()
+                                            .onReportOrigin(report.id(), control, lastHeardAt));
         }
         // What was open at an earlier incarnation may go on at the one that has just reported.
         endEarlier();
@@ -320,7 +326,8 @@
 
     private void onLimits(Limits limits, String control) {
         List<AdvertisedLimit> told = LimitFrames.decode(limits, mClock.getAsLong());
-        mEntry.loop().execute(() -> told.forEach(limit -> mEntry.onLimitFromControl(limit, control)));
+        mEntry.loop()
+                .execute(() -> told.forEach(limit -> mEntry.onLimitFromControl(limit, control)));
     }
 
     private void onCaches(Caches caches) {
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/GatewayProcess.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/GatewayProcess.java
@@ -347,7 +347,8 @@
     /** What is read when metrics are asked for, on the traffic thread. */
     private void registerGauges() {
         MetricRegistry registry = mMetrics.registry();
-        registry.register("targets.known", (Gauge<Integer>) () -> mEntry.targetStates().targets().size());
+        registry.register(
+                "targets.known", (Gauge<Integer>) () -> mEntry.targetStates().targets().size());
         registry.register("targets.connections", (Gauge<Integer>) mEntry.pool()::connections);
         registry.register("keys.lease-age.ms", (Gauge<Long>) () -> mEntry.confirmationAgeMillis());
     }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CallerConnection.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CallerConnection.java
@@ -135,7 +135,10 @@
 
     /** Returns whether a request is answered, read or waits, or an answer hasn't left yet. */
     boolean isBusy() {
-        return mExchange != null || mHead != null || !mQueuedMessages.isEmpty() || isWritingAnswer();
+        return mExchange != null
+                || mHead != null
+                || !mQueuedMessages.isEmpty()
+                || isWritingAnswer();
     }
 
     /** An answer that has ended may still wait here for a caller that reads slowly. */
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CallerStream.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CallerStream.java
@@ -71,7 +71,8 @@
         if (complete) {
             shutdown.onCompleted(request, mEventCount, now - startedAt);
         } else {
-            shutdown.onInterrupted(request, mEventCount, (mEventCount > 0 ? mLastEventAt : now) - startedAt);
+            shutdown.onInterrupted(
+                    request, mEventCount, (mEventCount > 0 ? mLastEventAt : now) - startedAt);
         }
     }
 
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/ConfigurationStatus.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/ConfigurationStatus.java
@@ -23,4 +23,5 @@
  * @param confirmationAgeMillis time since the last confirmed question was sent, -1 if none was
  * @param confirmedBy who confirmed it, empty if nobody has
  */
-record ConfigurationStatus(long version, long logIndex, long confirmationAgeMillis, String confirmedBy) {}
+record ConfigurationStatus(
+        long version, long logIndex, long confirmationAgeMillis, String confirmedBy) {}
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CrashDetector.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CrashDetector.java
@@ -49,13 +49,17 @@
     void onRunLost(String target, RequestFingerprint request) {
         mLostRuns.onDisconnected(target, request, mEntry.now());
         mEntry.loop()
-                .schedule(() -> mEntry.pool().probe(target), PROBE_DELAY_MILLIS, TimeUnit.MILLISECONDS);
+                .schedule(
+                        () -> mEntry.pool().probe(target),
+                        PROBE_DELAY_MILLIS,
+                        TimeUnit.MILLISECONDS);
     }
 
     /** A target takes no connections, or has started again. */
     void onTargetDown(String target) {
         long now = mEntry.now();
-        mLostRuns.onTargetEnded(target, now)
+        mLostRuns
+                .onTargetEnded(target, now)
                 .filter(crash -> !mEntry.targetStates().isLeaving(target))
                 .ifPresent(crash -> reportCrash(crash, now));
     }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/EntryContext.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/EntryContext.java
@@ -136,7 +136,8 @@
         if (unannounced && mTargetStates.isResponding(target, now())) {
             // Its reports don't arrive, but its answers do.
             mUnreported.add(target);
-            mLoop.schedule(() -> checkUnreported(target), LIVENESS_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+            mLoop.schedule(
+                    () -> checkUnreported(target), LIVENESS_CHECK_MILLIS, TimeUnit.MILLISECONDS);
             return;
         }
         if (unannounced) {
@@ -159,7 +160,8 @@
         removeTarget(target);
         openExchanges(target)
                 .forEach(
-                        exchange -> exchange.onTargetRestarted(target, "the target has started again"));
+                        exchange ->
+                                exchange.onTargetRestarted(target, "the target has started again"));
     }
 
     private void removeTarget(String target) {
@@ -230,7 +232,8 @@
         if (mTargetStates.shouldMoveStreams(target, now())) {
             openExchanges(target).forEach(exchange -> exchange.onTargetWaitsToLoad(target));
         }
-        mLoop.schedule(() -> checkLoadingDelay(target), LOADING_DELAY_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+        mLoop.schedule(
+                () -> checkLoadingDelay(target), LOADING_DELAY_CHECK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private void checkUnreported(String target) {
@@ -260,7 +263,8 @@
         Set<Exchange> all = new HashSet<>();
         mExchangesByTarget.values().forEach(all::addAll);
         all.forEach(Exchange::onShuttingDown);
-        mLoop.schedule(() -> checkShutdownDeadline(endsAt), SHUTDOWN_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+        mLoop.schedule(
+                () -> checkShutdownDeadline(endsAt), SHUTDOWN_CHECK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** Returns the present configuration, or null if none is known. */
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/Exchange.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/Exchange.java
@@ -386,7 +386,9 @@
                                     this::onHoldTimeout,
                                     Math.max(
                                             1,
-                                            mStream.lastEventAt() + mForwarding.holdMillis() - now()),
+                                            mStream.lastEventAt()
+                                                    + mForwarding.holdMillis()
+                                                    - now()),
                                     TimeUnit.MILLISECONDS);
         }
     }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/ExchangeLog.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/ExchangeLog.java
@@ -24,8 +24,8 @@
 import org.quilldyke.daemon.log.EventLog;
 import org.quilldyke.routing.CacheKeys;
 import org.quilldyke.routing.Choice;
-import org.quilldyke.routing.TargetSelector;
 import org.quilldyke.routing.ReportOrigin;
+import org.quilldyke.routing.TargetSelector;
 
 /** The log lines of one request: where it was sent and why, and what became of it. */
 final class ExchangeLog {
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/RequestAdmission.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/RequestAdmission.java
@@ -55,7 +55,8 @@
         CallerFacts facts = entry.dialect().callers().read(head);
         String path = head.uri().split("[?#]", 2)[0];
         Optional<Route> found = routes.route(head.headers().get(HttpHeaderNames.HOST), path);
-        boolean open = found.isPresent() && (found.get().allowsAnonymous() || !routes.requiresKeys());
+        boolean open =
+                found.isPresent() && (found.get().allowsAnonymous() || !routes.requiresKeys());
         if (!open && !entry.isConfigurationConfirmed()) {
             throw unconfirmed();
         }
@@ -67,7 +68,8 @@
         if (!open && owner.isEmpty()) {
             throw denied(entry, ResultCode.UNKNOWN_TOKEN, "");
         }
-        long timeoutMillis = Math.min(route.timeoutMillis(), facts.millisLeft().orElse(Long.MAX_VALUE));
+        long timeoutMillis =
+                Math.min(route.timeoutMillis(), facts.millisLeft().orElse(Long.MAX_VALUE));
         return new ForwardRequest(
                 facts.id(),
                 route,
@@ -84,7 +86,9 @@
 
     /** What isn't here may have been added meanwhile, and no caller comes back after a denial. */
     private static QuilldykeException denied(EntryContext entry, ResultCode code, String detail) {
-        return entry.isConfigurationCurrent() ? QuilldykeException.notRun(code, detail) : unconfirmed();
+        return entry.isConfigurationCurrent()
+                ? QuilldykeException.notRun(code, detail)
+                : unconfirmed();
     }
 
     private static QuilldykeException unconfirmed() {
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/SilenceDetector.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/SilenceDetector.java
@@ -91,7 +91,9 @@
             mRestartReport = null;
         }
         long timeoutAt = lastHeardAt + mMaxSilenceMillis;
-        return mRestartReport == null ? timeoutAt : Math.min(timeoutAt, mRestartReport.acceptedAt(lastHeardAt));
+        return mRestartReport == null
+                ? timeoutAt
+                : Math.min(timeoutAt, mRestartReport.acceptedAt(lastHeardAt));
     }
 
     private void scheduleCheckAfter(long millis) {
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/TargetAnswer.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/TargetAnswer.java
@@ -30,8 +30,8 @@
 import org.quilldyke.gateway.dialect.LimitFact;
 import org.quilldyke.gateway.engine.Attempt;
 import org.quilldyke.gateway.engine.AttemptListener;
-import org.quilldyke.routing.Choice;
 import org.quilldyke.routing.AdvertisedLimit;
+import org.quilldyke.routing.Choice;
 
 /** What one target sends for a request, read for the {@link Exchange} that asked it. */
 final class TargetAnswer implements AttemptListener {
@@ -248,7 +248,8 @@
 
     private void recordEventInterval() {
         if (mLastEventAt != NO_EVENT) {
-            mEntry.targetStates().onEvent(mChoice.target(), mLastHeardAt - mLastEventAt, mLastHeardAt);
+            mEntry.targetStates()
+                    .onEvent(mChoice.target(), mLastHeardAt - mLastEventAt, mLastHeardAt);
         }
         mLastEventAt = mLastHeardAt;
     }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/LimitSpread.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/LimitSpread.java
@@ -71,7 +71,10 @@
         List<AdvertisedLimit> news = new ArrayList<>();
         for (AdvertisedLimit limit : LimitFrames.decode(told, now)) {
             AdvertisedLimit known = mLatest.get(limit.target());
-            boolean isNews = known == null || limit.receivedAt() >= known.receivedAt() && limit.shouldPublishAfter(known);
+            boolean isNews =
+                    known == null
+                            || limit.receivedAt() >= known.receivedAt()
+                                    && limit.shouldPublishAfter(known);
             if (isNews) {
                 // Put anew, so that it is dropped after those of whom nothing was heard for longer.
                 mLatest.remove(limit.target());
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/TargetSpread.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/TargetSpread.java
@@ -136,7 +136,8 @@
         if (holdsSome && !tellsWeights) {
             throw QuilldykeException.notRun(ResultCode.REPORT_INVALID, "models");
         }
-        if (!isOfAService(report) && (mServices.isPresent() || mRegistry.conflictsWithOtherService(report))) {
+        if (!isOfAService(report)
+                && (mServices.isPresent() || mRegistry.conflictsWithOtherService(report))) {
             throw QuilldykeException.notRun(ResultCode.REPORT_SERVICE, report.service());
         }
         long now = mClock.getAsLong();
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/dialect/CacheEvents.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/dialect/CacheEvents.java
@@ -25,8 +25,8 @@
  * @param gap whether some changes are missing
  * @param unreadable how many changes couldn't be read and are left out
  * @param changes the changes in order
- * @param born the birth that the engine tells, {@link org.quilldyke.engine.Incarnation#UNKNOWN_START} if
- *     none
+ * @param born the birth that the engine tells, {@link
+ *     org.quilldyke.engine.Incarnation#UNKNOWN_START} if none
  */
 public record CacheEvents(
         long epoch, long next, boolean gap, int unreadable, List<Change> changes, long born) {
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/EngineClient.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/EngineClient.java
@@ -84,7 +84,8 @@
                 mDialect.statusRequest(address),
                 TIMEOUT_MILLIS,
                 (status, body) ->
-                        callback.accept(status == 200 ? readStatus(address, body) : Optional.empty()));
+                        callback.accept(
+                                status == 200 ? readStatus(address, body) : Optional.empty()));
     }
 
     /** Gives an order; {@code done} hears on the traffic thread what became of it. */
@@ -100,13 +101,15 @@
      * Waits for changes in the cache of an engine or a store; {@code done} hears them on the
      * traffic thread, or that no answer came.
      */
-    public void pollCacheEvents(String address, long since, Consumer<Optional<CacheEvents>> callback) {
+    public void pollCacheEvents(
+            String address, long since, Consumer<Optional<CacheEvents>> callback) {
         send(
                 address,
                 mDialect.cacheEventsRequest(address, since),
                 CACHE_TIMEOUT_MILLIS,
                 (status, body) ->
-                        callback.accept(status == 200 ? readEvents(address, body) : Optional.empty()));
+                        callback.accept(
+                                status == 200 ? readEvents(address, body) : Optional.empty()));
     }
 
     private Optional<CacheEvents> readEvents(String address, byte[] body) {
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/RefusalLog.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/RefusalLog.java
@@ -111,7 +111,8 @@
         }
     }
 
-    private void onRefused(Source source, String sender, ResultCode code, int count, String detail) {
+    private void onRefused(
+            Source source, String sender, ResultCode code, int count, String detail) {
         String name = source.name().toLowerCase(Locale.ROOT);
         mMetrics.counter("news-refused." + name + '.' + code.label()).inc(count);
         OptionalLong suppressed = admitLine(name + '.' + code.label());
@@ -139,7 +140,8 @@
 
     /** What others wrote shall neither end a line nor be one that has no end. */
     private static String printable(String text) {
-        String prefix = text.length() <= MAX_TEXT_CHARS ? text : text.substring(0, MAX_TEXT_CHARS) + "...";
+        String prefix =
+                text.length() <= MAX_TEXT_CHARS ? text : text.substring(0, MAX_TEXT_CHARS) + "...";
         return prefix.replaceAll("\\p{Cntrl}", "?");
     }
 
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/TargetConnection.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/TargetConnection.java
@@ -82,7 +82,10 @@
 
     /** Returns whether a request may be sent at {@code now}. */
     boolean isUsable(long now) {
-        return mContext.channel().isActive() && mAttempt == null && !mNotReusable && now < mUsableUntil;
+        return mContext.channel().isActive()
+                && mAttempt == null
+                && !mNotReusable
+                && now < mUsableUntil;
     }
 
     void cancel(Attempt attempt) {
@@ -137,7 +140,9 @@
         if (attempt != null) {
             String error = mListenerFailed ? "a fault of this instance" : "reset";
             attempt.listener()
-                    .onFailed(ResultCode.TARGET_LOST, mConnectionFailed ? error : "connection closed");
+                    .onFailed(
+                            ResultCode.TARGET_LOST,
+                            mConnectionFailed ? error : "connection closed");
         }
     }
 
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/TargetConnectionPool.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/TargetConnectionPool.java
@@ -67,7 +67,8 @@
      * @param dialect how targets speak
      * @param clock monotonic milliseconds
      */
-    public static TargetConnectionPool create(EventLoop loop, TargetDialect dialect, LongSupplier clock) {
+    public static TargetConnectionPool create(
+            EventLoop loop, TargetDialect dialect, LongSupplier clock) {
         return create(loop, dialect, clock, new Listener() {});
     }
 
@@ -100,7 +101,8 @@
             String requestId,
             AttemptListener listener) {
         Attempt attempt = new Attempt(request, requestId, listener);
-        PerTargetPool pool = mPoolsByTarget.computeIfAbsent(target, id -> new PerTargetPool(target, address));
+        PerTargetPool pool =
+                mPoolsByTarget.computeIfAbsent(target, id -> new PerTargetPool(target, address));
         TargetConnection free = pool.takeFree();
         if (free != null) {
             free.send(attempt);
--- a/quilldyke-testkit/src/main/java/org/quilldyke/testkit/check/FakeReplica.java
+++ b/quilldyke-testkit/src/main/java/org/quilldyke/testkit/check/FakeReplica.java
@@ -140,7 +140,8 @@
 
     /** Has the leader propose a change of membership, if one is due. */
     private void changeMembership(long now) throws QuilldykeException {
-        Optional<Membership> next = mPlanner.nextMembership(mReplica, mId, mLeaderSince, clock(now));
+        Optional<Membership> next =
+                mPlanner.nextMembership(mReplica, mId, mLeaderSince, clock(now));
         if (next.isPresent() && mReplica.proposeMembership(next.get()) >= 0) {
             mActions.addAll(mReplica.flush(clock(now)));
             drain(now);
--- a/quilldyke-tools/src/main/java/org/quilldyke/tools/bench/SlopesBench.java
+++ b/quilldyke-tools/src/main/java/org/quilldyke/tools/bench/SlopesBench.java
@@ -41,10 +41,10 @@
 import org.quilldyke.engine.CacheEvent;
 import org.quilldyke.engine.TargetRecord;
 import org.quilldyke.routing.Candidate;
+import org.quilldyke.routing.CostProfile;
 import org.quilldyke.routing.LoadTable;
 import org.quilldyke.routing.PrefixIndex;
 import org.quilldyke.routing.Router;
-import org.quilldyke.routing.CostProfile;
 
 /** Measures what the real code costs at several sizes, as counted loops after a warm-up. */
 public final class SlopesBench {
