--- a/quilldyke-core/src/main/java/org/quilldyke/engine/BlockChain.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/BlockChain.java
@@ -19,11 +19,11 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 
 /**
- * The keys of a prompt's full blocks, each of which covers the whole prefix up to its end.
+ * The cache keys of a prompt's full blocks; each key covers the whole prefix up to the block's end.
  *
  * <p>Key {@code i} is XXH3 over key {@code i - 1} and the bytes of block {@code i}; the chain
- * starts at {@link CacheScope#seed}. A key therefore names scope, position and all content before
- * it. The last, partial block has no key, since engines cache whole blocks only.
+ * starts at {@link CacheScope#seed}. A key therefore identifies the scope, the position and all
+ * content before it. The last, partial block has no key, since engines cache whole blocks only.
  */
 public final class BlockChain {
     /** Units in a block; a unit is one byte of the prompt's UTF-8 form. */
@@ -42,7 +42,7 @@
     /**
      * Computes the chain of a prompt.
      *
-     * @param scope the bounds of reuse
+     * @param scope the scope of reuse
      * @param prompt the prompt in UTF-8
      */
     public static BlockChain of(CacheScope scope, byte[] prompt) {
@@ -52,7 +52,7 @@
     /**
      * Computes the chain of a prompt.
      *
-     * @param seed the scope's seed, which the engine is told as the salt
+     * @param seed the scope's seed, which is sent to the engine as the salt
      * @param prompt the prompt in UTF-8
      */
     public static BlockChain of(long seed, byte[] prompt) {
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/CacheEvent.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/CacheEvent.java
@@ -18,14 +18,14 @@
 import it.unimi.dsi.fastutil.longs.LongList;
 
 /**
- * One event of an engine's cache, as published: late, and with gaps in the sequence.
+ * An event published by an engine's cache. Events arrive late, and some are lost.
  *
- * @param sequence rises by one with each event of one incarnation; a gap means a lost event
- * @param kind what happened
- * @param keys the blocks concerned, empty for {@link Kind#CLEARED}
+ * @param sequence increases by one with each event of an incarnation; a gap means lost events
+ * @param kind the type of the change
+ * @param keys the keys of the changed blocks, empty for {@link Kind#CLEARED}
  */
 public record CacheEvent(long sequence, Kind kind, LongList keys) {
-    /** What happened to the blocks. */
+    /** The change of the blocks. */
     public enum Kind {
         STORED,
         REMOVED,
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/CacheScope.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/CacheScope.java
@@ -18,7 +18,7 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 
 /**
- * The bounds inside which cached blocks may be reused.
+ * The scope within which cached blocks may be reused.
  *
  * <p>Two prompts share blocks only if all four parts are equal, so reuse never crosses an
  * organisation or a weight version.
@@ -29,7 +29,7 @@
  * @param adapter the adapter's name, empty for none
  */
 public record CacheScope(String organisation, String model, String weights, String adapter) {
-    /** Returns the salt that is sent with each request and that starts each chain of block keys. */
+    /** Returns the hexadecimal form of {@link #seed}, sent with each request as its salt. */
     public String salt() {
         return Long.toHexString(seed());
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/ChatTemplate.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/ChatTemplate.java
@@ -17,12 +17,12 @@
 
 import java.util.List;
 
-/** Turns the messages of a chat into the one text that an engine completes. */
+/** Renders the messages of a chat as the prompt that an engine completes. */
 public final class ChatTemplate {
     private ChatTemplate() {}
 
     /**
-     * Returns the text of a chat.
+     * Returns the prompt of a chat.
      *
      * @param messages the messages in order
      * @param continueLast whether the last message is to be continued rather than answered
@@ -45,8 +45,8 @@
     /**
      * One message of a chat.
      *
-     * @param role who speaks
-     * @param content what is said
+     * @param role the role of the author, such as user or assistant
+     * @param content the text of the message
      */
     public record Message(String role, String content) {}
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/Departure.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/Departure.java
@@ -16,22 +16,22 @@
 package org.quilldyke.engine;
 
 /**
- * The end of a target's service, as far as its words tell.
+ * The departure of a target, kept as a tombstone so that late reports don't restore the target.
  *
- * @param target the target's key
- * @param lastSequence of its reports this one and all before don't count any more
- * @param recordedAt when it was told, in milliseconds of this instance's monotonic clock
+ * @param target the key of its incarnation
+ * @param lastSequence the sequence up to which its reports are obsolete
+ * @param recordedAt when it was reported, in milliseconds of this instance's monotonic clock
  */
 public record Departure(String target, long lastSequence, long recordedAt) {
-    /** No report of the target counts any more. */
+    /** The last sequence of a permanent departure: all reports of the target are obsolete. */
     public static final long ALL_REPORTS = Long.MAX_VALUE;
 
-    /** Returns the end of a target that has said that it is gone. */
+    /** Returns the permanent departure of a target. */
     public static Departure permanent(String target, long recordedAt) {
         return new Departure(target, ALL_REPORTS, recordedAt);
     }
 
-    /** Returns the end of a target that said it leaves and wasn't heard since. */
+    /** Returns the departure of a target whose last report said that it is leaving. */
     public static Departure upTo(TargetReport lastReport, long recordedAt) {
         return new Departure(lastReport.id(), lastReport.sequence(), recordedAt);
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/Departures.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/Departures.java
@@ -21,11 +21,11 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Which targets have left, for as long as late words of them may come. */
+/** Targets that have departed, kept as long as late messages about them may arrive. */
 final class Departures {
     private final Map<String, Departure> mByTarget = new HashMap<>();
 
-    /** Takes a departure; returns whether it is news. */
+    /** Adds a departure; returns whether it makes more reports obsolete than the known one. */
     boolean add(Departure departure) {
         Departure known = mByTarget.get(departure.target());
         boolean isNew = known == null || known.lastSequence() < departure.lastSequence();
@@ -35,7 +35,7 @@
         return isNew;
     }
 
-    /** Returns whether a report was made before its sender left. */
+    /** Returns whether a report was made before its sender departed. */
     boolean precedesDeparture(TargetReport report) {
         Departure known = mByTarget.get(report.id());
         return known != null && report.sequence() <= known.lastSequence();
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/Incarnation.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/Incarnation.java
@@ -16,30 +16,30 @@
 package org.quilldyke.engine;
 
 /**
- * One start of a target: its id and when it says that it was born.
+ * One start of a target's process: the target's id and the start time that it reports.
  *
- * <p>A target may start again under the id that it had. What is believed of it is therefore kept
- * under {@link #key()}, in maps as well as in frames between instances, and ends with the
- * incarnation. The target itself is told its plain id. Clocks of targets may be off: births order
- * the incarnations of one id and are compared with nothing else.
+ * <p>A target may restart under the same id. Its state is therefore stored under {@link #key()}, in
+ * maps as well as in frames between instances, and is discarded with the incarnation. Messages to
+ * the target itself carry the plain id. Clocks of targets may be wrong: start times order the
+ * incarnations of one id and are compared with nothing else.
  *
- * @param id the name that the target gives itself
- * @param startedAtMillis the Unix millisecond of its start by its own clock, {@link #UNKNOWN_START}
- *     if it doesn't say
+ * @param id the id that the target reports
+ * @param startedAtMillis the start time by the target's own clock, in Unix milliseconds, or {@link
+ *     #UNKNOWN_START} if the target does not report it
  */
 public record Incarnation(String id, long startedAtMillis) {
-    /** Stands for a target that doesn't say when it was born; any that says so is later. */
+    /** The start time of a target that does not report it; earlier than any reported one. */
     public static final long UNKNOWN_START = Long.MIN_VALUE;
 
-    /** Ends the path of a URL, so that no id has it. */
+    /** Not a valid character of an id, since it ends the path of a URL. */
     private static final char SEPARATOR = '#';
 
-    /** Returns the incarnation of a target that doesn't say when it was born. */
+    /** Returns the incarnation of a target that does not report its start time. */
     public static Incarnation withoutStart(String id) {
         return new Incarnation(id, UNKNOWN_START);
     }
 
-    /** Returns the incarnation that a key names; without a birth the key is the id. */
+    /** Returns the incarnation with the given key; without a start time the key is the id. */
     public static Incarnation ofKey(String key) {
         int separator = key.lastIndexOf(SEPARATOR);
         if (separator < 0) {
@@ -49,40 +49,38 @@
             long startedAtMillis = Long.parseLong(key.substring(separator + 1));
             return new Incarnation(key.substring(0, separator), startedAtMillis);
         } catch (NumberFormatException e) {
-            // The id of a target that doesn't say when it was born.
+            // The id of a target that does not report its start time.
             return withoutStart(key);
         }
     }
 
-    /** Returns the one text that names this incarnation among ourselves. */
+    /** Returns the key that identifies this incarnation within quilldyke. */
     public String key() {
         return hasStart() ? id + SEPARATOR + startedAtMillis : id;
     }
 
-    /** Returns whether it is known when the target was born. */
+    /** Returns whether the start time is known. */
     public boolean hasStart() {
         return startedAtMillis != UNKNOWN_START;
     }
 
     /**
-     * Returns whether an answer may be this incarnation's, so that it may be believed of it.
+     * Returns whether a response may come from this incarnation.
      *
-     * @param answeredStartedAtMillis the birth that the answer tells, {@link #UNKNOWN_START} if
-     *     none
+     * @param reportedStartMillis the start time in the response, {@link #UNKNOWN_START} if none
      */
-    public boolean mayMatch(long answeredStartedAtMillis) {
+    public boolean mayMatch(long reportedStartMillis) {
         return !hasStart()
-                || answeredStartedAtMillis == UNKNOWN_START
-                || answeredStartedAtMillis == startedAtMillis;
+                || reportedStartMillis == UNKNOWN_START
+                || reportedStartMillis == startedAtMillis;
     }
 
     /**
-     * Returns whether an answer shows that another one has taken this incarnation's place.
+     * Returns whether a response shows that a later incarnation has replaced this one.
      *
-     * @param answeredStartedAtMillis the birth that the answer tells, {@link #UNKNOWN_START} if
-     *     none
+     * @param reportedStartMillis the start time in the response, {@link #UNKNOWN_START} if none
      */
-    public boolean isSupersededBy(long answeredStartedAtMillis) {
-        return !mayMatch(answeredStartedAtMillis) && answeredStartedAtMillis > startedAtMillis;
+    public boolean isSupersededBy(long reportedStartMillis) {
+        return !mayMatch(reportedStartMillis) && reportedStartMillis > startedAtMillis;
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/LatestIncarnations.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/LatestIncarnations.java
@@ -20,11 +20,11 @@
 import java.util.Optional;
 
 /**
- * The latest incarnation of each id that was ever heard of: what is told of an earlier one comes
- * too late, also when the latest is silent or gone.
+ * The latest known incarnation of each target id. Messages about earlier incarnations are obsolete,
+ * even if the latest one is unresponsive or has left.
  */
 public final class LatestIncarnations {
-    /** Many times the targets of today's sites; the ids that were used longest ago yield. */
+    /** Many times the number of targets of a site; the least recently used ids are evicted. */
     static final int MAX_IDS = 4096;
 
     private static final float LOAD_FACTOR = 0.75f;
@@ -39,7 +39,7 @@
 
     private LatestIncarnations() {}
 
-    /** Returns an order that has heard of no target. */
+    /** Returns an empty table. */
     public static LatestIncarnations create() {
         return new LatestIncarnations();
     }
@@ -51,9 +51,9 @@
     }
 
     /**
-     * Takes note of an incarnation.
+     * Records an incarnation.
      *
-     * @return the one that it puts an end to, if that was known
+     * @return the known incarnation that it supersedes, if any
      */
     public Optional<Incarnation> observe(Incarnation incarnation) {
         if (isSuperseded(incarnation)) {
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/LeaveOutcome.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/LeaveOutcome.java
@@ -18,31 +18,33 @@
 import java.util.Optional;
 
 /**
- * What became of a target's word that it is gone.
+ * The outcome of a target's leave notice.
  *
- * @param target for whom it was taken: an incarnation's key, or the plain id
- * @param result what was made of it
- * @param suspension who takes nothing new because of it, where that isn't sure
- * @param needsPropagation whether others have to hear of it
+ * @param target the target to which it was applied: an incarnation's key, or the plain id
+ * @param result the effect of the notice
+ * @param suspension the suspension that it causes if its sender is uncertain
+ * @param needsPropagation whether it has to be sent to other processes
  */
 public record LeaveOutcome(
         String target, Result result, Optional<Suspension> suspension, boolean needsPropagation) {
-    /** Returns whether the target itself is gone for good. */
+    /** Returns whether the target has left permanently. */
     public boolean hasDeparted() {
         return result != Result.SUSPENDED;
     }
 
-    /** What a leave does. */
+    /** The effect of a leave notice. */
     public enum Result {
-        /** The target was known, and takes nothing for good. */
+        /** The target was known, and is removed permanently. */
         ENDED,
-        /** It isn't sure whose word it is: the target takes nothing new for a while. */
+        /** The sender is uncertain: the target gets no new requests for a while. */
         SUSPENDED,
-        /** No such target was known. */
+        /** The target was not known. */
         UNKNOWN,
-        /** No target of the id was ever known: whoever has it takes nothing new for a while. */
+        /**
+         * No incarnation of the id was ever known: any that has it gets no requests for a while.
+         */
         UNPLACED,
-        /** The target was known to be gone. */
+        /** The target was already known to have left. */
         KNOWN
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/LoadReport.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/LoadReport.java
@@ -16,13 +16,13 @@
 package org.quilldyke.engine;
 
 /**
- * An engine's own view of its load, which arrives late.
+ * An engine's report of its own load, which arrives with a delay.
  *
- * @param incarnation the incarnation that reports
- * @param running requests in the batch
- * @param waiting requests in the queue
- * @param queuedUnits prompt units still to be computed, of running and waiting requests
- * @param accepted requests accepted since the incarnation's start
+ * @param incarnation the number of the incarnation that reports
+ * @param running the number of requests in the batch
+ * @param waiting the number of requests in the queue
+ * @param queuedUnits prompt units of running and waiting requests that remain to be prefilled
+ * @param accepted the number of requests accepted since the incarnation's start
  */
 public record LoadReport(
         long incarnation, int running, int waiting, long queuedUnits, long accepted) {}
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/ReportRules.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/ReportRules.java
@@ -22,28 +22,34 @@
 import org.quilldyke.ResultCode;
 
 /**
- * What a target's report must fulfil to be taken. Anybody may send one: it names a target only if
- * the target can be reached, and if nothing in it would lead decisions astray.
+ * Validation of target reports. Any sender may submit one, so it is accepted only if its address is
+ * well-formed and none of its values can distort routing decisions.
  */
 public final class ReportRules {
-    /** Far more than any target runs at once; with more, all requests would go there. */
+    /** Far above any real concurrency; a higher value would attract all requests. */
     static final int MAX_SLOTS = 100_000;
 
     static final int MAX_TEXT_LENGTH = 256;
     static final int MAX_MODELS = 256;
 
-    /** Numbers up to here are the same to all that read them; after a higher one none may come. */
+    /**
+     * The largest integer up to which every JSON reader is exact. A counter above it could leave no
+     * room for a higher one.
+     */
     static final long MAX_SAFE_INTEGER = 1L << 53;
 
-    /** What stands in a path, and in a header, as it is; the longest id in use has some 40. */
+    /**
+     * Characters that need no escaping in a path or a header. The longest ids in use have about 40
+     * characters.
+     */
     private static final Pattern ID = Pattern.compile("[A-Za-z0-9._~:@!$&'()*+,;=-]{1,128}");
 
     private ReportRules() {}
 
     /**
-     * Returns a report that fulfils the rules.
+     * Returns the report if it is valid.
      *
-     * @throws QuilldykeException with the code of the first rule that it breaks
+     * @throws QuilldykeException with the code of the first rule that it violates
      */
     public static TargetReport validated(TargetReport report) throws QuilldykeException {
         Optional<ResultCode> violation = findViolation(report);
@@ -53,7 +59,7 @@
         return report;
     }
 
-    /** Returns the first rule that a report breaks. */
+    /** Returns the code of the first rule that a report violates. */
     public static Optional<ResultCode> findViolation(TargetReport report) {
         if (!isId(Incarnation.ofKey(report.id()).id())) {
             return Optional.of(ResultCode.REPORT_ID);
@@ -78,7 +84,7 @@
                 : Optional.of(ResultCode.REPORT_RANGE);
     }
 
-    /** Returns the first rule that is broken by what a target says of the weights it holds. */
+    /** Returns the code of the first rule that the weights of a report violate. */
     public static Optional<ResultCode> findViolation(Map<String, Long> weights) {
         if (weights.size() > MAX_MODELS
                 || !weights.values().stream().allMatch(ReportRules::isInRange)) {
@@ -89,12 +95,12 @@
                 : Optional.of(ResultCode.REPORT_INVALID);
     }
 
-    /** Returns whether a target may have this id. */
+    /** Returns whether {@code id} is a valid target id. */
     public static boolean isId(String id) {
         return ID.matcher(id).matches();
     }
 
-    /** Returns whether a number that targets count up, or a time in milliseconds, is sound. */
+    /** Returns whether a counter or a duration in milliseconds is in the accepted range. */
     public static boolean isInRange(long number) {
         return number >= 0 && number <= MAX_SAFE_INTEGER;
     }
@@ -103,7 +109,7 @@
         return !text.isEmpty() && isText(text);
     }
 
-    /** Half of a surrogate pair is another text once it has been sent on. */
+    /** Rejects unpaired surrogates, too: they do not survive being encoded and decoded. */
     private static boolean isText(String text) {
         return text.length() <= MAX_TEXT_LENGTH
                 && text.codePoints()
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/SocketAddresses.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/SocketAddresses.java
@@ -17,7 +17,7 @@
 
 import java.util.regex.Pattern;
 
-/** The form of the addresses that targets and processes are reached at. */
+/** Syntax of the network addresses of targets and processes. */
 public final class SocketAddresses {
     private static final String OCTET = "(25[0-5]|2[0-4][0-9]|1[0-9][0-9]|[1-9]?[0-9])";
     private static final Pattern IP = Pattern.compile(OCTET + "(\\." + OCTET + "){3}");
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/Suspension.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/Suspension.java
@@ -16,54 +16,63 @@
 package org.quilldyke.engine;
 
 /**
- * A leave that told no birth, and may be that of a target's present incarnation or the late one of
- * its predecessor. Until it is known whose it was, the present one takes no new requests.
+ * The effect of a leave notice without a start time, which may come from a target's current
+ * incarnation or, delayed, from its predecessor. As long as the sender is uncertain, the current
+ * incarnation gets no new requests.
  *
- * @param target the key of the incarnation, the plain id if it isn't known which one there is
- * @param leaveReceivedAt when the leave was told, in milliseconds of this instance's monotonic
+ * @param target the key of the incarnation, or the plain id if no incarnation is known
+ * @param leaveReceivedAt when the notice was received, in milliseconds of this instance's monotonic
  *     clock
- * @param coversSuccessor whether the next incarnation may have left, too: its reports may come
- *     after its leave, and the one before it was silent when the leave came
+ * @param coversSuccessor whether the notice may also be the next incarnation's: its reports may
+ *     arrive after the notice, and the known incarnation was unresponsive when the notice arrived
  */
 public record Suspension(String target, long leaveReceivedAt, boolean coversSuccessor) {
-    /** Words of targets come late by seconds: who is heard after this is sure to live. */
+    /** Messages are late by seconds; a target seen this long after a leave notice is alive. */
     static final long MAX_MESSAGE_DELAY_MILLIS = 10_000;
 
-    /** Targets report themselves every second or so: one that did so this lately lived. */
+    /** Targets report about once a second; one whose last report is as recent as this is alive. */
     private static final long RECENT_REPORT_MILLIS = 3000;
 
-    /** One word is told over several ways; another leave of the same id comes later than that. */
+    /**
+     * One notice may arrive over several paths within this time; a later one of the same id is
+     * another notice.
+     */
     private static final long DUPLICATE_LEAVE_MILLIS = 1000;
 
-    /** Returns the suspension by a leave of whoever has an id where none is known. */
+    /** Returns the suspension by a leave notice of an id of which no incarnation is known. */
     static Suspension forUnknownId(String id, long leaveReceivedAt) {
         return new Suspension(id, leaveReceivedAt, true);
     }
 
-    /** Returns the suspension by a leave of whoever has an id where an incarnation is known. */
+    /**
+     * Returns the suspension of a known incarnation by a leave notice of its id.
+     *
+     * @param target the key of the latest known incarnation
+     * @param latestReportAt when its latest report was made
+     */
     static Suspension forIncarnation(String target, long latestReportAt, long leaveReceivedAt) {
         return new Suspension(
                 target, leaveReceivedAt, leaveReceivedAt - latestReportAt > RECENT_REPORT_MILLIS);
     }
 
-    /** Returns the same suspension of an incarnation that was told of later. */
+    /** Returns the same suspension for a later incarnation that was seen at {@code seenAt}. */
     Suspension movedTo(Incarnation successor, long seenAt) {
-        boolean wasSilent =
+        boolean wasUnresponsive =
                 seenAt <= leaveReceivedAt && leaveReceivedAt - seenAt > RECENT_REPORT_MILLIS;
-        return new Suspension(successor.key(), leaveReceivedAt, coversSuccessor && wasSilent);
+        return new Suspension(successor.key(), leaveReceivedAt, coversSuccessor && wasUnresponsive);
     }
 
-    /** Returns which incarnation is meant. */
+    /** Returns the suspended incarnation. */
     public Incarnation incarnation() {
         return Incarnation.ofKey(target);
     }
 
-    /** Returns whether a report that was heard at a time may have been made before the leave. */
+    /** Returns whether a report seen at {@code seenAt} may have been made before the leave. */
     boolean mayPredateLeave(long seenAt) {
         return seenAt <= leaveReceivedAt + MAX_MESSAGE_DELAY_MILLIS;
     }
 
-    /** Returns whether this tells something that another one of the same id doesn't. */
+    /** Returns whether this changes what a known suspension of the same id says. */
     boolean addsInformationTo(Suspension known) {
         boolean isLaterIncarnation =
                 incarnation().startedAtMillis() > known.incarnation().startedAtMillis();
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/Suspensions.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/Suspensions.java
@@ -22,12 +22,12 @@
 
 /** The latest suspension of each id. */
 final class Suspensions {
-    /** What was heard before the end of a suspension may be told somewhat later. */
+    /** Reports that were seen before the end of a suspension may be forwarded after it. */
     private static final long RETENTION_MILLIS = 2 * Suspension.MAX_MESSAGE_DELAY_MILLIS;
 
     private final Map<String, Suspension> mById = new HashMap<>();
 
-    /** Takes a suspension; returns whether it is news. */
+    /** Adds a suspension; returns whether it changes the known one of its id. */
     boolean add(Suspension suspension) {
         String id = suspension.incarnation().id();
         Suspension known = mById.get(id);
@@ -39,8 +39,9 @@
     }
 
     /**
-     * Returns whether what an incarnation says at a time doesn't show yet that it stays. A later
-     * one than was known may have left, too, if it was heard before the leave, or is the next.
+     * Returns whether an incarnation that is seen at a time is still suspended. The suspension
+     * moves to a later incarnation that was seen before the leave notice, or if it covers the
+     * successor.
      */
     boolean isSuspended(Incarnation incarnation, long seenAt) {
         Suspension known = mById.get(incarnation.id());
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/TargetRecord.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/TargetRecord.java
@@ -16,22 +16,22 @@
 package org.quilldyke.engine;
 
 /**
- * What a target says of itself when it announces itself and each time it renews its lease.
+ * A target's description of itself, sent when it joins and with each renewal of its lease.
  *
  * @param id the target's name, unique in its cell
  * @param kind engine or plain service
- * @param cell the cell it belongs to
- * @param service the service it belongs to
- * @param address IP number and port of its HTTP server
- * @param failureDomain where it stands
+ * @param cell the cell that it belongs to
+ * @param service the service that it belongs to
+ * @param address IP address and port of its HTTP server
+ * @param failureDomain its failure domain
  * @param incarnation a number that grows with each start of the target's process
- * @param sequence a number that grows with each announcement of one incarnation
- * @param model the model it serves, empty for a plain service
- * @param weights the weight version it has loaded, empty for a plain service
- * @param slots requests it runs at once
- * @param prefillUnitsPerMilli prompt units it computes in a millisecond, 0 for a plain service
- * @param checksFencing whether it refuses orders with an old fencing number
- * @param leaving whether it wants no new work
+ * @param sequence a number that grows with each record of one incarnation
+ * @param model the model that it serves, empty for a plain service
+ * @param weights the weight version that it has loaded, empty for a plain service
+ * @param slots the number of requests that it runs concurrently
+ * @param prefillUnitsPerMilli prompt units prefilled in a millisecond, 0 for a plain service
+ * @param checksFencing whether it rejects orders with an outdated fencing number
+ * @param leaving whether it accepts no new requests
  */
 public record TargetRecord(
         String id,
@@ -49,7 +49,7 @@
         boolean checksFencing,
         boolean leaving) {
 
-    /** What a target is. */
+    /** Types of targets. */
     public enum Kind {
         ENGINE,
         SERVICE
@@ -63,7 +63,7 @@
         return sequence > other.sequence;
     }
 
-    /** Returns whether the two records say the same but for the sequence. */
+    /** Returns whether the two records are equal except for the sequence. */
     public boolean equalsExceptSequence(TargetRecord other) {
         return withSequence(0).equals(other.withSequence(0));
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/TargetRegistry.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/TargetRegistry.java
@@ -23,20 +23,21 @@
 import java.util.Optional;
 
 /**
- * Which targets there are, by what they report.
+ * The known targets, built from their reports.
  *
- * <p>Reports may come late and in any order: the highest sequence counts, and after a target has
- * said that it is gone, nothing that it said before does. A target that is silent for too long
- * lapses, and is back with its next report.
+ * <p>Reports may arrive late and in any order: the highest sequence wins, and reports made before a
+ * target's departure are ignored. A target that does not report for too long lapses, and returns
+ * with its next report.
  *
- * <p>Targets are named by their incarnation's key. A later incarnation ends the earlier ones of its
- * id at once, wherever they stand and whenever they were heard; nothing told of those counts then.
+ * <p>Targets are identified by the key of their incarnation. A later incarnation supersedes the
+ * earlier ones of its id at once, whatever their addresses and however recently they were seen;
+ * messages about those are ignored from then on.
  */
 public final class TargetRegistry {
-    /** Before all times of a monotonic clock, and far enough from the least number to count on. */
+    /** Earlier than any time of a monotonic clock; differences to it don't overflow. */
     public static final long NEVER = Long.MIN_VALUE / 2;
 
-    /** For how long a late report of a target that is gone is still known as such. */
+    /** How long late reports of removed targets are recognised as such. */
     static final long TOMBSTONE_RETENTION_MILLIS = 120_000;
 
     private final Map<String, Entry> mEntries = new HashMap<>();
@@ -54,21 +55,21 @@
         mAuthoritative = authoritative;
     }
 
-    /** Returns a registry that knows no target and hears targets themselves. */
+    /** Returns an empty registry that decides by the reports of the targets themselves. */
     public static TargetRegistry create() {
         return new TargetRegistry(true);
     }
 
-    /** Returns a registry that knows no target and takes what other registries have judged. */
+    /** Returns an empty registry that accepts the decisions of other registries. */
     public static TargetRegistry createFollower() {
         return new TargetRegistry(false);
     }
 
     /**
-     * Takes a report.
+     * Processes a report.
      *
-     * @param seenAt when it was made, as far as known
-     * @return whether it tells something new, other than that the target lives
+     * @param seenAt when it was received from the target, as far as known
+     * @return whether it changes anything other than the time at which the target was last seen
      */
     public boolean onReport(TargetReport received, long seenAt) {
         TargetReport report =
@@ -86,7 +87,8 @@
         }
         if (mAuthoritative && isFromDisplacedTarget(report.id(), seenAt)) {
             if (report.leaving() && mDepartures.add(Departure.upTo(report, seenAt))) {
-                // Whoever has the address, and whether it still answers: it asks for no more.
+                // It asks for no more requests, whichever target has the address now and even if it
+                // still answers.
                 mInferredDepartures.add(report.id());
             }
             return false;
@@ -105,9 +107,9 @@
     }
 
     /**
-     * Returns whether the sender's address has passed to another target since: a report may have
-     * been held up on its way until long after its sender's end. Who reports twice while the other
-     * one is silent lives, however.
+     * Returns whether another target has taken over the sender's address: a report may be delayed
+     * until long after its sender has ended. A sender that reports twice while the holder of the
+     * address does not report is alive, however.
      */
     private boolean isFromDisplacedTarget(String id, long seenAt) {
         Displaced displaced = mDisplaced.get(id);
@@ -125,8 +127,8 @@
     }
 
     /**
-     * Whatever was known of earlier incarnations ends with the first word of a later one; returns
-     * whether there was one.
+     * Discards the state of the earlier incarnation that this one supersedes; returns whether there
+     * was one.
      */
     private boolean supersedeEarlier(Incarnation incarnation) {
         Optional<String> earlier = mLatestIncarnations.observe(incarnation).map(Incarnation::key);
@@ -141,8 +143,8 @@
     }
 
     /**
-     * Returns the incarnations that a later one has ended since this was asked last: what is open
-     * there is lost.
+     * Returns the incarnations that were superseded since the last call; requests that are open
+     * there have failed.
      */
     public List<String> takeSuperseded() {
         List<String> superseded = List.copyOf(mNewlySuperseded);
@@ -151,8 +153,8 @@
     }
 
     /**
-     * Returns the targets that were known, and whose address another one has taken, since this was
-     * asked last: they are sent nothing more.
+     * Returns the known targets whose address another target has taken over since the last call;
+     * they are sent no more requests.
      */
     public List<String> takeDisplaced() {
         List<String> displaced = List.copyOf(mNewlyDisplaced);
@@ -161,13 +163,13 @@
     }
 
     /**
-     * Takes a leave, which needn't tell a birth: without one it is that of the latest incarnation
-     * that is known under the id now.
+     * Processes a leave notice. Without a start time it applies to the latest known incarnation of
+     * the id.
      *
-     * <p>If that has just taken the place of another, it may be the late word of its predecessor;
-     * if it is silent, that of a successor whose reports are late. Who is gone never comes back,
-     * and who leaves takes no new requests, so whoever it isn't sure of is neither ended nor left
-     * as it is, but suspended.
+     * <p>If that incarnation has just superseded another, the notice may be a late one of the
+     * predecessor; if it is unresponsive, the notice may be that of a successor whose reports are
+     * late. A removed target never returns, and a target that leaves must get no new requests, so
+     * an incarnation that may or may not have left is suspended, not removed or kept as it is.
      */
     public LeaveOutcome onLeave(String reportedKey, long now) {
         return Incarnation.ofKey(reportedKey).hasStart()
@@ -177,7 +179,7 @@
 
     private LeaveOutcome onLeaveWithoutStart(String latestKey, long now) {
         if (!Incarnation.ofKey(latestKey).hasStart()) {
-            // Others may know an incarnation of the id, and this process may soon be told of it.
+            // Other processes may know an incarnation of the id and report it to this one soon.
             boolean isKnown = mEntries.containsKey(latestKey);
             Optional<Suspension> idSuspension =
                     isKnown
@@ -186,8 +188,8 @@
             return recordLeave(latestKey, idSuspension, now);
         }
         Entry known = mEntries.get(latestKey);
-        // What comes late, or is only told by another instance, doesn't show that it lived just
-        // now.
+        // Only the latest report shows that the target was alive: late reports, and notices by
+        // other instances, do not.
         long latestReportAt = known == null ? NEVER : known.mLatestReportAt;
         Suspension suspension = Suspension.forIncarnation(latestKey, latestReportAt, now);
         if (known != null && mayBeFromPredecessor(known, now)) {
@@ -216,8 +218,8 @@
     }
 
     /**
-     * Returns whether a leave may be that of a target's predecessor: the target has just taken its
-     * place, or the same leave came to another process, where it had.
+     * Returns whether a leave notice may be that of a target's predecessor: the target has just
+     * superseded it, here or at another process that has received the same notice.
      */
     private boolean mayBeFromPredecessor(Entry known, long now) {
         boolean isRecentSuccessor =
@@ -227,8 +229,8 @@
     }
 
     /**
-     * Takes a suspension of an incarnation, or of whichever is known under an id; returns whether
-     * that is news.
+     * Applies a suspension of an incarnation, or of the latest one that is known under a plain id;
+     * returns whether it changes the known suspension.
      */
     public boolean onSuspension(Suspension received) {
         Incarnation incarnation = received.incarnation();
@@ -244,18 +246,18 @@
         return isNew;
     }
 
-    /** Returns the latest incarnation that is known under the id of another key. */
+    /** Returns the key of the latest known incarnation of a key's id. */
     public String latestKey(String key) {
         Incarnation incarnation = Incarnation.ofKey(key);
         return mLatestIncarnations.find(incarnation.id()).orElse(incarnation).key();
     }
 
-    /** Returns the suspensions of which others have to know. */
+    /** Returns the suspensions, to be sent to other processes. */
     public Collection<Suspension> suspensions() {
         return mSuspensions.all();
     }
 
-    /** An address belongs to one target at a time: whoever had it before has ended. */
+    /** Removes other targets with the same address: an address belongs to one target at a time. */
     private void displaceOthers(TargetReport report, long seenAt) {
         List<Entry> displaced =
                 mEntries.values().stream()
@@ -277,7 +279,7 @@
         }
     }
 
-    /** Notes that a target lives, as of a report that was told before. */
+    /** Records that a target was alive at {@code seenAt}. */
     public void onAlive(String id, long seenAt) {
         Entry known = mEntries.get(id);
         if (known != null) {
@@ -285,7 +287,7 @@
         }
     }
 
-    /** Notes weights that a target is known to hold before it reports them. */
+    /** Records weights that a target is known to have loaded before it reports them. */
     public void onWeights(String id, String model, long version) {
         Entry known = mEntries.get(id);
         if (known != null && version > known.mReport.weights().getOrDefault(model, 0L)) {
@@ -295,12 +297,12 @@
         }
     }
 
-    /** Notes that a target is gone for good; returns whether that is news. */
+    /** Records that a target has departed permanently; returns whether this was unknown. */
     public boolean onPermanentDeparture(String id, long now) {
         return onDeparture(Departure.permanent(id, now));
     }
 
-    /** Notes that a target has left; returns whether that is news. */
+    /** Records that a target has departed; returns whether this was unknown. */
     public boolean onDeparture(Departure departure) {
         boolean isNew = mDepartures.add(departure);
         Entry known = mEntries.get(departure.target());
@@ -311,14 +313,14 @@
         return isNew;
     }
 
-    /** Forgets a target that is silent; returns whether it was known. */
+    /** Removes a target that has lapsed at another process; returns whether it was known. */
     public boolean onLapsed(String id) {
         return mEntries.remove(id) != null;
     }
 
     /**
-     * Returns the targets that were not heard for {@code silentMillis}, and forgets them. Those
-     * that had said that they leave have left: a report from before must not bring them back.
+     * Removes and returns the targets that were not seen for {@code timeoutMillis}. Those that were
+     * leaving count as departed, so that an earlier report does not restore them.
      */
     public List<TargetReport> lapse(long timeoutMillis, long now) {
         expireTombstones(now);
@@ -338,7 +340,7 @@
         return lapsed;
     }
 
-    /** Forgets what is only known to tell late words from others. */
+    /** Removes old state that only serves to recognise late messages. */
     public void expireTombstones(long now) {
         mDepartures.expire(TOMBSTONE_RETENTION_MILLIS, now);
         mDisplaced
@@ -348,7 +350,7 @@
         mSuspensions.expire(now);
     }
 
-    /** Forgets the targets that are only remembered; returns their ids. */
+    /** Removes restored targets that have not reported since; returns their ids. */
     public List<String> removeRestored() {
         List<String> ids =
                 mEntries.values().stream()
@@ -361,8 +363,8 @@
     }
 
     /**
-     * Returns whether a report of another service claims the id or the address of a target that was
-     * heard.
+     * Returns whether a report has the id or the address of a known target of another service.
+     * Restored targets that have not reported since are not considered.
      */
     public boolean conflictsWithOtherService(TargetReport report) {
         String id = report.incarnation().id();
@@ -376,35 +378,35 @@
                                         || known.address().equals(report.address()));
     }
 
-    /** Returns the last report of a target. */
+    /** Returns the latest report of a target. */
     public Optional<TargetReport> report(String id) {
         return Optional.ofNullable(mEntries.get(id)).map(entry -> entry.mReport);
     }
 
-    /** Returns when a target was last heard, {@link #NEVER} if it isn't known. */
+    /** Returns when a target was last seen, {@link #NEVER} if it is not known. */
     public long lastSeenAt(String id) {
         Entry entry = mEntries.get(id);
         return entry == null ? NEVER : entry.mLastSeenAt;
     }
 
-    /** Returns the last report of each target. */
+    /** Returns the latest report of each target. */
     public List<TargetReport> reports() {
         return mEntries.values().stream().map(entry -> entry.mReport).toList();
     }
 
-    /** Returns the targets that have left. */
+    /** Returns the departures of targets. */
     public Collection<Departure> departures() {
         return mDepartures.all();
     }
 
-    /** Returns the departure of a target, if it has left. */
+    /** Returns the departure of a target, if any. */
     public Optional<Departure> departure(String target) {
         return mDepartures.find(target);
     }
 
     /**
-     * Returns the departures since this was asked last of targets that didn't say that they are
-     * gone.
+     * Returns the departures since the last call that were inferred from reports, without a leave
+     * notice.
      */
     public List<Departure> takeInferredDepartures() {
         List<Departure> departures =
@@ -413,10 +415,10 @@
         return departures;
     }
 
-    /** Where a target was that fell silent. */
+    /** The last address of a target that has lapsed. */
     private record Lapsed(String address, long lapsedAt) {}
 
-    /** A target whose address another one has. */
+    /** A target whose address another target has taken over. */
     private static final class Displaced {
         final String mHolderId;
         final long mDisplacedAt;
@@ -434,7 +436,7 @@
         TargetReport mReport;
         long mLastSeenAt;
 
-        /** When the newest of its reports was heard. */
+        /** When the report with the highest sequence was received. */
         long mLatestReportAt;
 
         Entry(TargetReport report, long seenAt, boolean replacedEarlier) {
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/TargetReport.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/TargetReport.java
@@ -18,18 +18,18 @@
 import java.util.Map;
 
 /**
- * What a target says of itself.
+ * A target's report of its own state.
  *
- * @param id names this start of the target: {@link Incarnation#key()}
+ * @param id the key of the target's incarnation, see {@link Incarnation#key()}
  * @param service the service that it belongs to
- * @param address where it takes requests
- * @param failureDomain where it stands
- * @param softwareVersion the version of its program
- * @param slots how many requests it runs at once
- * @param leaving whether it takes no new requests since it is about to end
- * @param coldRemainingMillis for how long it is still slow after its start
- * @param weights the version of each model's weights that it holds
- * @param sequence grows with each report of this target
+ * @param address the IP address and port at which it accepts requests
+ * @param failureDomain its failure domain
+ * @param softwareVersion the version of its software
+ * @param slots the number of requests that it runs concurrently
+ * @param leaving whether it accepts no new requests because it is about to shut down
+ * @param coldRemainingMillis the remaining time of reduced speed after a cold start
+ * @param weights the weight version of each model that it has loaded
+ * @param sequence a number that grows with each report of this incarnation
  */
 public record TargetReport(
         String id,
@@ -42,7 +42,7 @@
         long coldRemainingMillis,
         Map<String, Long> weights,
         long sequence) {
-    /** The sequence of what is only remembered of a target: anything it says itself is newer. */
+    /** The sequence of a restored report, lower than that of any report of the target itself. */
     private static final long RESTORED_SEQUENCE = -1;
 
     /** Copies the weights. */
@@ -50,12 +50,12 @@
         weights = Map.copyOf(weights);
     }
 
-    /** Returns which start of which target reports. */
+    /** Returns the incarnation that reports. */
     public Incarnation incarnation() {
         return Incarnation.ofKey(id);
     }
 
-    /** Returns whether another report tells the same, but for when it was made. */
+    /** Returns whether another report has the same content, regardless of its sequence. */
     public boolean isEquivalentTo(TargetReport other) {
         return id.equals(other.id)
                 && service.equals(other.service)
@@ -70,25 +70,28 @@
         return with(leaving, other, sequence);
     }
 
-    /** Returns the report as if the target had said that it leaves. */
+    /** Returns the report with the target marked as leaving. */
     public TargetReport asLeaving() {
         return with(true, weights, sequence);
     }
 
     /**
-     * Returns whether this takes the place of another report of the same target. Of two that were
-     * made together the one that takes requests away counts.
+     * Returns whether this replaces another report of the same target. Of two with the same
+     * sequence, the one of a leaving target wins.
      */
     boolean supersedes(TargetReport other) {
         return sequence > other.sequence || sequence == other.sequence && leaving && !other.leaving;
     }
 
-    /** Returns the report as one that a process remembers from before its restart. */
+    /** Returns the report as one that a process restores after its restart. */
     public TargetReport asRestored() {
         return with(leaving, weights, RESTORED_SEQUENCE);
     }
 
-    /** Returns whether the target hasn't been heard since the process that tells this began. */
+    /**
+     * Returns whether the report was restored after a restart, and the target has not reported to
+     * the restarted process since.
+     */
     public boolean isRestored() {
         return sequence == RESTORED_SEQUENCE;
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/package-info.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/package-info.java
@@ -1,2 +1,5 @@
-/** The peer that runs models: its record, its cache keys, its load report and its cache events. */
+/**
+ * Targets that run requests: their reports, incarnations and departures, and for engines the cache
+ * keys, cache events and load reports.
+ */
 package org.quilldyke.engine;
--- a/quilldyke-core/src/main/java/org/quilldyke/instance/ControlLinkPlanner.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/instance/ControlLinkPlanner.java
@@ -24,33 +24,33 @@
 import java.util.Optional;
 
 /**
- * Decides to which control processes an entry keeps streams.
+ * Chooses the control processes to which an entry keeps streams.
  *
- * <p>A control process that has lost its leader still speaks, but confirms nothing; one that was
- * lost with its machine doesn't even refuse a connection. So only confirmations count. While none
- * comes, more processes are asked at once, up to two more than may be lost, those that were tried
- * least recently first: no address is tried again before all others were.
+ * <p>A control process without a leader still answers, but confirms nothing; one whose machine has
+ * failed does not even refuse connections. So only confirmations show that a stream works. Without
+ * any, streams to more processes are opened at the same time, up to two more than the tolerated
+ * losses, to the least recently tried first: no address is retried before all others were tried.
  */
 public final class ControlLinkPlanner {
-    /** One more than needed, so that the loss of one goes unnoticed. */
+    /** One more than needed, so that the loss of one has no effect. */
     static final int NORMAL_LINKS = 2;
 
-    /** A control process that confirms nothing for this long is left for another. */
+    /** A stream without a confirmation for this long is replaced. */
     static final long LINK_TIMEOUT_MILLIS = 1500;
 
-    /** Without any confirmation for this long, more control processes are asked at once. */
+    /** Without any confirmation for this long, streams to more processes are opened. */
     static final long CONFIRMATION_MAX_AGE_MILLIS = 1000;
 
-    /** So long after the one before, another one is asked. */
+    /** The interval at which streams to further processes are opened during a search. */
     static final long SEARCH_STEP_MILLIS = 250;
 
-    /** A control process that confirmed nothing is tried after others for this long. */
+    /** An address whose stream was not confirmed is tried after others for this long. */
     static final long FAILURE_BACKOFF_MILLIS = 5000;
 
-    /** An address that control processes have left out for this long is out of their reach. */
+    /** An address that control processes have not listed for this long is out of their reach. */
     static final long UNLISTED_MILLIS = 2000;
 
-    /** An address that is neither a seed nor told by a control process is dropped after this. */
+    /** How long an address is kept that is neither a seed nor listed by a control process. */
     static final long ADDRESS_RETENTION_MILLIS = 120_000;
 
     private static final long NEVER = Long.MIN_VALUE;
@@ -75,18 +75,19 @@
     /**
      * Returns a planner that knows no control process yet.
      *
-     * @param failureDomain where the entry stands; a control process there is preferred, since what
-     *     crosses to another domain costs
-     * @param toleratedLosses how many control processes may be lost at once
-     * @param startOffset where among equal addresses to begin, so that entries spread over them
-     * @param now the present time in monotonic milliseconds, as in all other calls
+     * @param failureDomain the entry's failure domain; a control process there is preferred, since
+     *     traffic between domains has a cost
+     * @param toleratedLosses the number of control processes that may be unavailable at once
+     * @param startOffset the offset of the first choice among equal addresses, so that entries
+     *     spread over them
+     * @param now the current time in monotonic milliseconds, as in all other calls
      */
     public static ControlLinkPlanner create(
             String failureDomain, int toleratedLosses, int startOffset, long now) {
         return new ControlLinkPlanner(failureDomain, toleratedLosses, startOffset, now);
     }
 
-    /** Takes the addresses that the settings name; those named before are ordinary ones now. */
+    /** Sets the seed addresses from the settings; former seeds are treated as other addresses. */
     public void onSeeds(Collection<String> addresses, long now) {
         mAddresses.values().forEach(state -> state.mIsSeed = false);
         for (String address : addresses) {
@@ -94,21 +95,21 @@
         }
     }
 
-    /** Takes the addresses that a control process has in reach. */
+    /** Records the addresses that a control process reports as reachable. */
     public void onReachableAddresses(Collection<String> addresses, long now) {
         mLastListAt = now;
         addresses.forEach(address -> addressState(address, now).mListedAt = now);
     }
 
-    /** Notes in which failure domain a control process stands. */
+    /** Records the failure domain of a control process. */
     public void onFailureDomain(String address, String failureDomain, long now) {
         addressState(address, now).mDomain = failureDomain;
     }
 
     /**
-     * Notes that a control process has confirmed what it told.
+     * Records that a control process has confirmed that its state is current.
      *
-     * @param askedAt when it was asked
+     * @param askedAt when the confirmed question was sent
      */
     public void onConfirmed(String address, long askedAt) {
         mConfirmedAt = Math.max(mConfirmedAt, askedAt);
@@ -118,23 +119,23 @@
         }
     }
 
-    /** Returns whether a control process is known to stand in the entry's failure domain. */
+    /** Returns whether a control process is known to be in the entry's failure domain. */
     public boolean isInOwnDomain(String address) {
         AddressState state = mAddresses.get(address);
         return state != null && mFailureDomain.equals(state.mDomain);
     }
 
-    /** Returns the time since a question was sent that any control process has confirmed. */
+    /** Returns the time since the latest confirmed question was sent to any control process. */
     public long unconfirmedMillis(long now) {
         return now - mConfirmedAt;
     }
 
-    /** Returns how many addresses are known. */
+    /** Returns the number of known addresses. */
     public int addressCount() {
         return mAddresses.size();
     }
 
-    /** Returns which streams to close and to open now; both count as done. */
+    /** Returns the streams to close and to open; the planner treats both as done. */
     public Plan plan(long now) {
         expireAddresses(now);
         List<String> close = closeUnconfirmed(now);
@@ -181,7 +182,7 @@
         return closed;
     }
 
-    /** Of more than enough streams that are confirmed, the near and the old ones stay. */
+    /** Of surplus confirmed streams, keeps those in the own failure domain, then the oldest. */
     private List<String> closeSurplus(long now) {
         List<String> surplus =
                 mLinks.entrySet().stream()
@@ -210,7 +211,7 @@
                 : Math.max(NORMAL_LINKS, mLinks.size());
     }
 
-    /** Returns whether a free address is in the own failure domain, or may be. */
+    /** Returns whether an address without a stream is, or may be, in the own failure domain. */
     private boolean mayBeInOwnDomain(String address, long now) {
         AddressState state = mAddresses.get(address);
         return !mLinks.containsKey(address)
@@ -244,14 +245,14 @@
     }
 
     /**
-     * What to change.
+     * The streams to change.
      *
      * @param close addresses whose streams are to be closed
      * @param open addresses to which streams are to be opened
      */
     public record Plan(List<String> close, List<String> open) {}
 
-    /** What is known of an address. */
+    /** The state of an address. */
     private static final class AddressState {
         private String mDomain;
         private boolean mIsSeed;
@@ -268,7 +269,7 @@
         }
     }
 
-    /** A stream. */
+    /** The state of a stream. */
     private static final class Link {
         private final long mOpenedAt;
         private long mConfirmedAt = NEVER;
--- a/quilldyke-core/src/main/java/org/quilldyke/instance/InstanceState.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/instance/InstanceState.java
@@ -16,15 +16,15 @@
 package org.quilldyke.instance;
 
 /**
- * What an instance says of itself in each heartbeat.
+ * The state of an instance, sent in each heartbeat.
  *
- * @param id the instance's name
- * @param failureDomain where it stands
+ * @param id the instance's id
+ * @param failureDomain its failure domain
  * @param incarnation a number that grows with each start
- * @param configurationVersion the configuration in force there
- * @param leaderAgeMillis age of the newest sign of a control leader, direct or through others
+ * @param configurationVersion the version of the configuration that it uses
+ * @param leaderAgeMillis age of the latest contact with a control leader, direct or indirect
  * @param leaving whether it is shutting down
- * @param leader the control leader it knows of, empty for none
+ * @param leader the id of the control leader that it knows, empty for none
  */
 public record InstanceState(
         String id,
--- a/quilldyke-core/src/main/java/org/quilldyke/instance/InstanceTable.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/instance/InstanceTable.java
@@ -21,11 +21,11 @@
 import java.util.TreeMap;
 
 /**
- * The other instances of the cell as their heartbeats show them.
+ * The other instances of the cell, by their heartbeats.
  *
- * <p>An instance that was not heard for the suspicion time is suspected. From who is heard and how
- * old each one's sign of a control leader is, the table tells a cut-off instance from a control
- * group that is down: see {@link #status}.
+ * <p>An instance without a heartbeat for the suspicion time is suspected to have failed. The number
+ * of alive instances and the age of their latest contact with a control leader distinguish an
+ * isolated instance from a control group without a leader, see {@link #status}.
  */
 public final class InstanceTable {
     private final List<String> mOthers;
@@ -45,11 +45,11 @@
     }
 
     /**
-     * Returns a table in which nobody was heard yet.
+     * Returns a table without any heartbeats.
      *
-     * @param others the ids of the other instances of the settings
-     * @param suspicionMillis silence after which an instance is suspected
-     * @param leaderLeaseMillis age from which a sign of a leader no longer counts
+     * @param others the ids of the other instances in the settings
+     * @param suspicionMillis the time without a heartbeat after which an instance is suspected
+     * @param leaderLeaseMillis the age above which a contact with a leader has expired
      */
     public static InstanceTable create(
             List<String> others, long suspicionMillis, long leaderLeaseMillis, long now) {
@@ -57,7 +57,7 @@
     }
 
     /**
-     * Notes a heartbeat.
+     * Records a heartbeat.
      *
      * @return whether the instance is new or has restarted
      */
@@ -75,23 +75,23 @@
         return previous == null || previous.state().incarnation() != state.incarnation();
     }
 
-    /** Notes a direct sign of the leader, at a replica that hears it or is it. */
+    /** Records a direct contact with the leader, at a replica that follows it or is it. */
     public void onLeader(String leader, long now) {
         mLeader = leader;
         mLeaderSeenAt = now;
     }
 
-    /** Returns the age of the newest sign of a leader, {@link Long#MAX_VALUE} if there was none. */
+    /** Returns the age of the latest contact with a leader, {@link Long#MAX_VALUE} for none. */
     public long leaderAgeMillis(long now) {
         return mLeaderSeenAt == Long.MIN_VALUE ? Long.MAX_VALUE : now - mLeaderSeenAt;
     }
 
-    /** Returns the leader last heard of, empty for none. */
+    /** Returns the id of the last known leader, empty for none. */
     public String leader() {
         return mLeader;
     }
 
-    /** Returns the instances that are heard and not suspected at {@code now}. */
+    /** Returns the instances that are not suspected at {@code now}. */
     public List<InstanceState> alive(long now) {
         List<InstanceState> alive = new ArrayList<>();
         for (ReceivedHeartbeat heartbeat : mLastHeartbeats.values()) {
@@ -102,7 +102,7 @@
         return alive;
     }
 
-    /** Returns what this instance may take itself for at {@code now}. */
+    /** Returns the status of this instance at {@code now}. */
     public Status status(long now) {
         if (leaderAgeMillis(now) <= mLeaderLeaseMillis) {
             return Status.CONNECTED;
@@ -114,18 +114,18 @@
         return majority ? Status.CONTROL_DOWN : Status.CUT_OFF;
     }
 
-    /** How an instance stands towards the rest of its cell. */
+    /** The connection of an instance to the rest of its cell. */
     public enum Status {
-        /** A leader was seen within the lease: the configuration is current. */
+        /** The latest contact with a leader is within its lease: the configuration is current. */
         CONNECTED,
-        /** Too early to tell. */
+        /** No contact with a leader yet, but the instance started less than a lease ago. */
         STARTING,
-        /** Most instances are heard and none sees a leader: no configuration can be accepted. */
+        /** A majority is alive, but none sees a leader: no configuration can be accepted. */
         CONTROL_DOWN,
-        /** Few instances are heard: a newer configuration may be in force elsewhere. */
+        /** Only a minority is alive: a newer configuration may be in use elsewhere. */
         CUT_OFF;
 
-        /** Returns whether requests may be served. */
+        /** Returns whether the instance may serve requests. */
         public boolean mayServe() {
             return this != CUT_OFF;
         }
--- a/quilldyke-core/src/main/java/org/quilldyke/instance/TargetTable.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/instance/TargetTable.java
@@ -23,11 +23,11 @@
 import org.quilldyke.engine.TargetRecord;
 
 /**
- * The targets that are alive, each by a lease that it renews at any instance.
+ * The targets with a valid lease, which they may renew at any instance.
  *
- * <p>Of two records of a target the one with the larger incarnation, then sequence, counts. A
- * lapsed lease removes the target; its last incarnation is remembered so that a late, older record
- * cannot bring it back.
+ * <p>Of two records of a target, the one with the higher incarnation, then sequence, wins. A target
+ * whose lease has lapsed is removed; its last record is kept so that a late, older record cannot
+ * restore it.
  */
 public final class TargetTable {
     private final String mCell;
@@ -44,11 +44,11 @@
     }
 
     /**
-     * Takes a record, from the target itself or from another instance.
+     * Processes a record from the target itself or from another instance.
      *
-     * @param record what the target says
+     * @param record the target's record
      * @param expiresAt end of its lease on this instance's clock
-     * @return what this changed
+     * @return the effect on the table
      */
     public Change accept(TargetRecord record, long expiresAt) {
         if (!mCell.equals(record.cell())) {
@@ -71,9 +71,9 @@
     }
 
     /**
-     * Takes a renewal that says nothing new but that the target lives.
+     * Renews the lease of a target whose record is otherwise unchanged.
      *
-     * @return false if the target's record isn't known, so that the whole record is needed
+     * @return false if the target's record is not known, so that the full record is needed
      */
     public boolean renew(String id, long incarnation, long sequence, long expiresAt) {
         Entry known = mEntries.get(id);
@@ -106,12 +106,12 @@
         return lapsed;
     }
 
-    /** Returns the live targets with the ends of their leases. */
+    /** Returns the live targets with the expiry times of their leases. */
     public Collection<Entry> entries() {
         return List.copyOf(mEntries.values());
     }
 
-    /** Returns a live target's record, or null. */
+    /** Returns a live target's record, or null if there is none. */
     public TargetRecord find(String id) {
         Entry entry = mEntries.get(id);
         return entry == null ? null : entry.record();
@@ -120,25 +120,25 @@
     /**
      * A live target.
      *
-     * @param record what it last said
+     * @param record its latest record
      * @param expiresAt end of its lease, in milliseconds of this instance's clock
      */
     public record Entry(TargetRecord record, long expiresAt) {}
 
-    /** What a record changed in the table. */
+    /** The effect of a record on the table. */
     public enum Change {
-        /** Nothing: the record was old, doubled or of another cell. */
+        /** None: the record was outdated, a duplicate or of another cell. */
         NONE,
-        /** Only the lease's end. */
+        /** Only the lease's expiry has changed. */
         RENEWED,
-        /** What the target says of itself, such as that it is leaving. */
+        /** The target's content has changed, such as its leaving flag. */
         UPDATED,
-        /** A target that was not in the table. */
+        /** The target was not in the table. */
         JOINED,
-        /** A new incarnation: what was known of the old one is void. */
+        /** The target has a new incarnation: state of the old one is obsolete. */
         RESTARTED;
 
-        /** Returns whether other instances should hear of it at once. */
+        /** Returns whether the change has to be sent to other instances immediately. */
         public boolean needsPropagation() {
             return this == UPDATED || this == JOINED || this == RESTARTED;
         }
--- a/quilldyke-core/src/main/java/org/quilldyke/instance/package-info.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/instance/package-info.java
@@ -1,2 +1,5 @@
-/** The other instances of the cell: who lives, and the table of targets that all of them share. */
+/**
+ * The state that instances exchange: heartbeats, the shared table of targets, and the choice of
+ * control processes.
+ */
 package org.quilldyke.instance;
--- a/quilldyke-core/src/main/java/org/quilldyke/manifest/FleetCommand.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/manifest/FleetCommand.java
@@ -15,19 +15,19 @@
  */
 package org.quilldyke.manifest;
 
-/** A change of the state that all instances share, as an entry of the replicated log. */
+/** A command of the replicated log that changes the state shared by all instances. */
 public sealed interface FleetCommand {
     /**
      * Publishes a manifest.
      *
-     * @param version its version; only a higher one than the present replaces it
-     * @param document the manifest as its operator wrote it, compressed
+     * @param version its version; it is applied only if higher than the current one
+     * @param document the manifest as written by the operator, compressed
      */
     record PublishManifest(long version, byte[] document) implements FleetCommand {}
 
-    /** Names the version of a model's weights that all engines shall hold. */
+    /** Sets the version of a model's weights that all engines should load. */
     record NameWeights(String model, long version) implements FleetCommand {}
 
-    /** Takes a fencing number, higher than all before, for orders to engines. */
+    /** Allocates a fencing number for orders to engines, higher than all previous ones. */
     record TakeFence(String holder) implements FleetCommand {}
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/manifest/FleetResult.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/manifest/FleetResult.java
@@ -16,9 +16,9 @@
 package org.quilldyke.manifest;
 
 /**
- * What a command resulted in.
+ * The result of applying a command.
  *
- * @param index the command's place in the log; for a fence, its number
- * @param changed whether the state is another one than before
+ * @param index the command's log index, which is also the fencing number of a TakeFence command
+ * @param changed whether the command changed the state
  */
 public record FleetResult(long index, boolean changed) {}
--- a/quilldyke-core/src/main/java/org/quilldyke/manifest/FleetState.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/manifest/FleetState.java
@@ -18,7 +18,7 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** The state that the replicated log makes: the newest manifest and the weights that are named. */
+/** The state machine of the replicated log: the newest manifest and the weight versions. */
 public final class FleetState {
     private final TreeMap<String, Long> mWeights = new TreeMap<>();
     private long mVersion = -1;
@@ -27,12 +27,12 @@
 
     private FleetState() {}
 
-    /** Returns the state before any command. */
+    /** Returns the initial state. */
     public static FleetState create() {
         return new FleetState();
     }
 
-    /** Returns the state that a snapshot holds. */
+    /** Returns the state stored in a snapshot. */
     public static FleetState restore(Snapshot snapshot) {
         FleetState state = new FleetState();
         state.mVersion = snapshot.version();
@@ -58,7 +58,7 @@
         return new FleetResult(index, changed);
     }
 
-    /** Returns the whole state. */
+    /** Returns a snapshot of the state. */
     public Snapshot snapshot() {
         return new Snapshot(mVersion, mDocument, mLastChangeIndex, new TreeMap<>(mWeights));
     }
@@ -73,7 +73,7 @@
         return mVersion;
     }
 
-    /** Returns the newest manifest as its operator wrote it, compressed. */
+    /** Returns the newest manifest as written by the operator, compressed. */
     public byte[] document() {
         return mDocument;
     }
@@ -83,18 +83,18 @@
         return mLastChangeIndex;
     }
 
-    /** Returns the version of each model's weights that all engines shall hold. */
+    /** Returns the version of each model's weights that all engines should load. */
     public SortedMap<String, Long> weights() {
         return new TreeMap<>(mWeights);
     }
 
     /**
-     * The whole state as a value.
+     * The contents of a snapshot.
      *
      * @param version the newest manifest's version, -1 if there is none
      * @param document that manifest, compressed
      * @param lastChangeIndex the index of the last command that changed the state
-     * @param weights the named version of each model's weights
+     * @param weights the version of each model's weights that all engines should load
      */
     public record Snapshot(
             long version, byte[] document, long lastChangeIndex, SortedMap<String, Long> weights) {}
--- a/quilldyke-core/src/main/java/org/quilldyke/manifest/Limits.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/manifest/Limits.java
@@ -16,16 +16,16 @@
 package org.quilldyke.manifest;
 
 /**
- * What a caller may send, and how long it may take.
+ * Limits on the size and duration of callers' requests.
  *
- * @param maxHeaderBytes the size of a request's line and headers at most
- * @param maxBodyBytes the size of a request's body at most
- * @param headerTimeoutMillis within what time a request's headers must be here
- * @param idleTimeoutMillis how long a connection may be without a request
+ * @param maxHeaderBytes the maximum size of a request's line and headers
+ * @param maxBodyBytes the maximum size of a request's body
+ * @param headerTimeoutMillis the time within which a request's headers must arrive
+ * @param idleTimeoutMillis the time after which a connection without a request is closed
  */
 public record Limits(
         int maxHeaderBytes, int maxBodyBytes, long headerTimeoutMillis, long idleTimeoutMillis) {
-    /** Returns what holds as long as no manifest says otherwise. */
+    /** Returns the limits that apply unless a manifest sets others. */
     public static Limits defaults() {
         return new Limits(16 << 10, 4 << 20, 3000, 15_000);
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/manifest/Manifest.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/manifest/Manifest.java
@@ -18,13 +18,13 @@
 import java.util.List;
 
 /**
- * All that operators have declared, as of one version.
+ * One version of the operators' declarations.
  *
- * @param version grows with each change
+ * @param version a number that grows with each change
  * @param routes the routes
  * @param services the services
- * @param organisations who may send requests; if there are none, no request needs a key
- * @param limits what callers may send
+ * @param organisations the organisations that may send requests; if empty, no key is required
+ * @param limits the limits on callers' requests
  */
 public record Manifest(
         long version,
--- a/quilldyke-core/src/main/java/org/quilldyke/manifest/ManifestRules.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/manifest/ManifestRules.java
@@ -24,14 +24,14 @@
 import org.quilldyke.QuilldykeException;
 import org.quilldyke.ResultCode;
 
-/** What a manifest must fulfil to be taken. */
+/** Validation of manifests. */
 public final class ManifestRules {
     private ManifestRules() {}
 
     /**
      * Checks a manifest.
      *
-     * @throws QuilldykeException {@link ResultCode#MANIFEST_INVALID} with the first thing wrong
+     * @throws QuilldykeException {@link ResultCode#MANIFEST_INVALID} with the first violation
      */
     public static void check(Manifest manifest) throws QuilldykeException {
         Optional<String> violation = findViolation(manifest);
@@ -40,12 +40,12 @@
         }
     }
 
-    /** Returns the first thing that is wrong with a manifest. */
+    /** Returns a description of the first violation in a manifest. */
     public static Optional<String> findViolation(Manifest manifest) {
         Set<String> services = new HashSet<>();
         for (Service service : manifest.services()) {
             if (!services.add(service.name())) {
-                return Optional.of("service " + service.name() + " stands there twice");
+                return Optional.of("service " + service.name() + " is declared twice");
             }
         }
         Set<String> hostsAndPrefixes = new HashSet<>();
@@ -55,7 +55,8 @@
                 return violation;
             }
             if (!hostsAndPrefixes.add(route.host() + " " + route.pathPrefix())) {
-                return Optional.of("route " + route.name() + " has the place of another");
+                return Optional.of(
+                        "route " + route.name() + " has the same host and path prefix as another");
             }
         }
         return findViolation(manifest.organisations());
@@ -72,14 +73,15 @@
             }
         }
         if (route.totalWeight() <= 0) {
-            return Optional.of(label + " has no weight");
+            return Optional.of(label + " has no positive weight");
         }
         if (route.timeoutMillis() <= 0) {
-            return Optional.of(label + " has no timeout");
+            return Optional.of(label + " has no positive timeout");
         }
         String prefix = route.pathPrefix();
         if (!prefix.startsWith("/") || !prefix.endsWith("/")) {
-            return Optional.of(label + " has a path prefix without its slashes");
+            return Optional.of(
+                    label + " has a path prefix that does not start and end with a slash");
         }
         return Optional.empty();
     }
@@ -89,7 +91,7 @@
         Set<String> names = new HashSet<>();
         for (Organisation organisation : organisations) {
             if (!names.add(organisation.name())) {
-                return Optional.of("organisation " + organisation.name() + " stands there twice");
+                return Optional.of("organisation " + organisation.name() + " is declared twice");
             }
             for (String key : organisation.keys()) {
                 if (ownersByKey.putIfAbsent(key, organisation.name()) != null) {
--- a/quilldyke-core/src/main/java/org/quilldyke/manifest/Organisation.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/manifest/Organisation.java
@@ -19,12 +19,12 @@
 import java.util.Set;
 
 /**
- * Who sends requests.
+ * A sender of requests.
  *
- * @param name names the organisation
- * @param keys the keys that its callers show
- * @param priority the rank of its requests, which goes before that of their route
- * @param isolated whether it shares no cached prompt with any other organisation
+ * @param name the organisation's unique name
+ * @param keys the API keys of its callers
+ * @param priority the priority of its requests, which overrides that of their route
+ * @param isolated whether it shares no cached prompts with other organisations
  */
 public record Organisation(String name, Set<String> keys, OptionalInt priority, boolean isolated) {
     /** Copies the keys. */
--- a/quilldyke-core/src/main/java/org/quilldyke/manifest/RequestKind.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/manifest/RequestKind.java
@@ -15,7 +15,7 @@
  */
 package org.quilldyke.manifest;
 
-/** What the requests of a route are like, and so what may be done with them. */
+/** The retry semantics of a route's requests. */
 public enum RequestKind {
     /** May run more than once. */
     IDEMPOTENT {
@@ -24,14 +24,14 @@
             return true;
         }
     },
-    /** May run once at most. */
+    /** May run at most once. */
     NON_IDEMPOTENT {
         @Override
         public boolean mayRunAgain(boolean resumable) {
             return false;
         }
     },
-    /** Is answered by a stream of events; may run again only if it can go on where it broke. */
+    /** Answered by a stream of events; may run again only if the stream is resumable. */
     STREAMING {
         @Override
         public boolean mayRunAgain(boolean resumable) {
@@ -39,6 +39,6 @@
         }
     };
 
-    /** Returns whether a request that may have run may be sent to another target. */
+    /** Returns whether a request that may already have run may be sent to another target. */
     public abstract boolean mayRunAgain(boolean resumable);
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/manifest/Route.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/manifest/Route.java
@@ -18,21 +18,21 @@
 import java.util.List;
 
 /**
- * Which requests go where, and what is promised for them.
+ * The services for a set of requests, and their service levels.
  *
- * @param name names the route
- * @param host the host that requests name, in lower case
- * @param pathPrefix how their path begins; starts and ends with a slash
- * @param kind what may be done with the requests
- * @param timeoutMillis how long a caller is kept waiting at most
- * @param latencyObjectiveMillis within what time an answer, or the first event of one, is good
- * @param eventGapMillis how long the pause between two events may be
- * @param priority the rank; 0 goes first
- * @param shares the services, with their shares of the requests
- * @param maxAttempts how many targets may run one request at most
- * @param allowsAnonymous whether requests need no key
- * @param carriesPrompts whether the requests carry prompts, whose parts targets keep
- * @param resumable whether a stream may go on at another target after a given event
+ * @param name the route's name
+ * @param host the host of the requests, in lower case
+ * @param pathPrefix the prefix of their paths; starts and ends with a slash
+ * @param kind the retry semantics of the requests
+ * @param timeoutMillis the maximum time until a request is answered
+ * @param latencyObjectiveMillis the objective for the time to a response or its first event
+ * @param eventGapMillis the objective for the time between two events of a stream
+ * @param priority the priority; 0 is the highest
+ * @param shares the services and their shares of the requests
+ * @param maxAttempts the maximum number of targets that may run one request
+ * @param allowsAnonymous whether requests are accepted without a key
+ * @param carriesPrompts whether the requests carry prompts, whose prefixes targets cache
+ * @param resumable whether a stream may be resumed at another target after a given event
  */
 public record Route(
         String name,
@@ -54,14 +54,14 @@
     }
 
     /**
-     * Returns for how long a caller waits for the next event before it leaves: two seconds, four
-     * objectives or eight pauses, whatever is longest, as the users' platform has it.
+     * Returns how long a caller waits for the next event before it disconnects, as defined by the
+     * users' platform: the longest of two seconds, four latency objectives and eight event gaps.
      */
     public long callerTimeoutMillis() {
         return Math.max(2000, Math.max(4 * latencyObjectiveMillis, 8 * eventGapMillis));
     }
 
-    /** Returns whether a request that may have run may be sent to another target. */
+    /** Returns whether a request that may already have run may be sent to another target. */
     public boolean mayRunAgain() {
         return kind.mayRunAgain(resumable);
     }
@@ -72,9 +72,9 @@
     }
 
     /**
-     * Returns the service for a request, drawn by weight.
+     * Returns the service for a request, chosen at random by weight.
      *
-     * @param draw an evenly distributed number, the same for each try of one request
+     * @param draw a uniformly distributed number, the same for each attempt of one request
      */
     public String serviceFor(long draw) {
         long remaining = Math.floorMod(draw, totalWeight());
@@ -84,14 +84,14 @@
                 return share.service();
             }
         }
-        throw new AssertionError("weights are positive in sum");
+        throw new AssertionError("the sum of the weights is not positive");
     }
 
     /**
      * A service's share of a route.
      *
-     * @param service the service
-     * @param weight its part of the sum of all weights
+     * @param service the name of the service
+     * @param weight its share of the sum of all weights
      */
     public record Share(String service, int weight) {}
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/manifest/RouteTable.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/manifest/RouteTable.java
@@ -25,7 +25,7 @@
 import java.util.Optional;
 import java.util.TreeSet;
 
-/** A manifest made ready to look up routes, services and keys. Immutable. */
+/** An immutable index of a manifest's routes, services and keys. */
 public final class RouteTable {
     private final Manifest mManifest;
     private final Map<String, List<Route>> mRoutesByHost = new HashMap<>();
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Returns the table of a manifest that was checked. */
+    /** Returns the table of a valid manifest. */
     public static RouteTable of(Manifest manifest) {
         return new RouteTable(manifest);
     }
@@ -59,10 +59,10 @@
     }
 
     /**
-     * Returns the route of a request: among those of its host, the one with the longest prefix.
+     * Returns the route of a request: the one of its host with the longest matching path prefix.
      *
-     * @param host as the request names it, with or without a port
-     * @param path without a query
+     * @param host the host in the request, with or without a port
+     * @param path the path without a query
      */
     public Optional<Route> route(String host, String path) {
         for (Route route : mRoutesByHost.getOrDefault(hostName(host), List.of())) {
@@ -78,20 +78,20 @@
         return Optional.ofNullable(mServices.get(name));
     }
 
-    /** Returns who holds a key. */
+    /** Returns the organisation to which a key belongs. */
     public Optional<Organisation> organisationOfKey(String key) {
         return Optional.ofNullable(mOrganisationsByKey.get(key));
     }
 
-    /** Returns whether requests need a key, but for those of open routes. */
+    /** Returns whether requests need a key, except on routes that allow anonymous requests. */
     public boolean requiresKeys() {
         return !mManifest.organisations().isEmpty();
     }
 
     /**
-     * Returns the name under which organisations that aren't isolated share cached prompts. It is
-     * another one whenever an organisation is isolated or no longer so: what it left in the common
-     * cache, or would find there, belongs to others.
+     * Returns the name under which organisations that are not isolated share cached prompts. It
+     * changes with the set of isolated organisations: an organisation whose isolation changes must
+     * not leave prompts in a cache that it shared, or find those of others there.
      */
     public String sharedCacheScope() {
         return mSharedCacheScope;
--- a/quilldyke-core/src/main/java/org/quilldyke/manifest/Service.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/manifest/Service.java
@@ -19,14 +19,14 @@
 import java.util.Optional;
 
 /**
- * A group of targets that answer the same requests.
+ * A group of targets that serve the same requests.
  *
- * @param name names the service
- * @param healthPath where a target tells whether it is healthy
- * @param maxConnections how many connections a target takes from all instances together; 0 if
- *     nothing is said
- * @param engineSpec what its targets are like, if they are engines
- * @param kvStore the store of kept cache that the service is, if it is one
+ * @param name the service's unique name
+ * @param healthPath the path of a target's health check
+ * @param maxConnections the maximum number of connections to a target from all instances together;
+ *     0 if not set
+ * @param engineSpec the properties of its targets, if they are engines
+ * @param kvStore the KV cache store, if the service is one
  */
 public record Service(
         String name,
@@ -35,13 +35,13 @@
         Optional<EngineSpec> engineSpec,
         Optional<KvStore> kvStore) {
     /**
-     * What the engines of a service are like.
+     * The properties of a service's engines.
      *
-     * @param slots how many requests an engine runs at once
-     * @param kvCapacityTokens how many tokens an engine's memory holds
-     * @param kvBytesPerToken the size of a token's cache
-     * @param linkMegabitsPerSecond the speed of an engine's link, in megabits a second
-     * @param maxEventCalls how many calls for cache events an engine holds open at once
+     * @param slots the number of requests that an engine runs concurrently
+     * @param kvCapacityTokens the capacity of an engine's KV cache, in tokens
+     * @param kvBytesPerToken the size of one token in the KV cache, in bytes
+     * @param linkMegabitsPerSecond the bandwidth of an engine's network link
+     * @param maxEventCalls the number of concurrent calls for cache events that an engine allows
      * @param models the models that the engines run
      */
     public record EngineSpec(
@@ -58,12 +58,12 @@
     }
 
     /**
-     * A store of kept cache.
+     * A store of KV cache blocks outside of the engines.
      *
-     * @param address where engines reach it
-     * @param failureDomain where it stands
-     * @param kvCapacityTokens how many tokens it holds
-     * @param linkMegabitsPerSecond the speed of its link, in megabits a second
+     * @param address the address at which engines reach it
+     * @param failureDomain its failure domain
+     * @param kvCapacityTokens its capacity, in tokens
+     * @param linkMegabitsPerSecond the bandwidth of its network link
      */
     public record KvStore(
             String address,
--- a/quilldyke-core/src/main/java/org/quilldyke/manifest/package-info.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/manifest/package-info.java
@@ -13,5 +13,8 @@
  * See the License for the specific language governing permissions and
  * limitations under the License.
  */
-/** What operators declare: routes, services, organisations and limits, checked and looked up. */
+/**
+ * The operators' declarations: routes, services, organisations and limits, with their validation,
+ * lookup and replicated state.
+ */
 package org.quilldyke.manifest;
--- a/quilldyke-core/src/test/java/org/quilldyke/manifest/ManifestRulesTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/manifest/ManifestRulesTest.java
@@ -36,11 +36,14 @@
     @Test
     void eachViolationIsDescribed() {
         assertViolation("unknown service", route("a", "/x/", "t", 1));
-        assertViolation("no weight", route("a", "/x/", "s", 0));
+        assertViolation("no positive weight", route("a", "/x/", "s", 0));
         assertViolation("negative weight", route("a", "/x/", "s", -1));
-        assertViolation("without its slashes", route("a", "/x", "s", 1));
-        assertViolation("place of another", route("a", "/x/", "s", 1), route("b", "/x/", "s", 1));
-        assertViolation("no timeout", routeWithTimeout(0));
+        assertViolation("not start and end with a slash", route("a", "/x", "s", 1));
+        assertViolation(
+                "same host and path prefix as another",
+                route("a", "/x/", "s", 1),
+                route("b", "/x/", "s", 1));
+        assertViolation("no positive timeout", routeWithTimeout(0));
     }
 
     @Test
@@ -99,7 +102,7 @@
         assertThat(drawsOfT).isEqualTo(10);
     }
 
-    /** What an organisation left in the common cache is out of reach once it is isolated. */
+    /** Cached prompts of an organisation are out of reach of others once it is isolated. */
     @Test
     void sharedCacheScopeChangesWithIsolation() {
         Organisation shared = new Organisation("o", Set.of("k"), OptionalInt.empty(), false);
