--- a/quilldyke-core/src/test/java/org/quilldyke/engine/LatestIncarnationsTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/engine/LatestIncarnationsTest.java
@@ -35,7 +35,7 @@
         assertThat(mLatest.find("a")).hasValue(new Incarnation("a", 7));
     }
 
-    /** Clocks of engines may be off. */
+    /** Clocks of targets may be wrong, so start times only order incarnations of one id. */
     @Test
     void startsOfDifferentIdsAreNotCompared() {
         mLatest.observe(new Incarnation("a", 7));
--- a/quilldyke-core/src/test/java/org/quilldyke/engine/TargetRegistryTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/engine/TargetRegistryTest.java
@@ -55,12 +55,9 @@
     }
 
     /**
-     * What is kept of targets that have left grew with each that left, at all instances and for
-     * good.
-     *
-     * <p>What users would see: tables that grow by each target that was ever replaced, told anew
-     * every 5 s. The cause: each telling counted as the time of the departure, so that two
-     * processes kept it alive between them. The evidence: this test on the code before.
+     * Guards against tombstones that never expire, so that the tables of all instances grow with
+     * each target that is replaced. Processes resend their departures every 5 s, and each resend
+     * was recorded as the time of the departure, so that two processes renewed it for each other.
      */
     @Test
     void repeatedDepartureDoesNotExtendRetention() {
@@ -76,7 +73,7 @@
     }
 
     @Test
-    void silentTargetLapsesAndReturnsWithNextReport() {
+    void targetWithoutReportsLapsesAndReturnsWithNextReport() {
         mRegistry.onReport(report("a", "1:1", 1, false), 0);
         mRegistry.onReport(report("b", "1:2", 1, false), 0);
         mRegistry.onAlive("b", 900);
@@ -96,7 +93,7 @@
         assertThat(mRegistry.takeDisplaced()).isEmpty();
     }
 
-    /** A report was held up by a cut until its sender had crashed and started again. */
+    /** A report is delayed by a network failure until its sender has crashed and restarted. */
     @Test
     void lateReportOfDisplacedTargetIsIgnored() {
         mRegistry.onReport(report("a", "1:1", 50, false), 0);
@@ -121,10 +118,11 @@
     }
 
     /**
-     * What seems a new incarnation may be the late report of one that this instance didn't know.
+     * What looks like a new target at an address may be a late report of an old one that this
+     * instance did not know.
      */
     @Test
-    void displacedTargetReturnsWhileAddressHolderIsSilent() {
+    void displacedTargetReturnsWhileAddressHolderDoesNotReport() {
         mRegistry.onReport(report("b", "1:1", 7, false), 0);
         mRegistry.onReport(report("a", "1:1", 50, false), 10);
         assertThat(ids(mRegistry.reports())).containsExactly("a");
@@ -134,7 +132,7 @@
         assertThat(ids(mRegistry.reports())).containsExactly("b");
     }
 
-    /** An entry hears of a target only once what the control processes make of its reports. */
+    /** An entry receives only reports that the control processes have already accepted. */
     @Test
     void followerAcceptsReportsOfDisplacedTargets() {
         TargetRegistry follower = TargetRegistry.createFollower();
@@ -155,7 +153,7 @@
         assertThat(mRegistry.report("a").get().weights()).containsExactly("m", 3L);
     }
 
-    /** Its counts start anew, and it may stand elsewhere. */
+    /** Sequences restart with an incarnation, and its address may differ. */
     @Test
     void laterIncarnationSupersedesEarlierAtOnce() {
         mRegistry.onReport(report("a#5", "1:1", 50, false), 100);
@@ -198,7 +196,7 @@
         assertThat(mRegistry.reports()).isEmpty();
     }
 
-    /** Other processes tell of the end only, or remember what was before. */
+    /** Other processes may send the departure only, or reports restored after a restart. */
     @Test
     void departureOfLaterIncarnationSupersedesEarlier() {
         TargetRegistry follower = TargetRegistry.createFollower();
@@ -222,7 +220,8 @@
     }
 
     /**
-     * Whoever answers still, though its reports have ended, ends with the word of its successor.
+     * A target that still answers, though it no longer reports, is superseded by the first report
+     * of its successor.
      */
     @Test
     void lapsedIncarnationIsSupersededToo() {
@@ -258,12 +257,12 @@
         LeaveOutcome outcome = mRegistry.onLeave("a", 0);
 
         assertOutcome(outcome, "a", LeaveOutcome.Result.UNPLACED, true);
-        // The same word again, since nobody acknowledged the first.
+        // The target repeats its notice because the first was not acknowledged.
         assertOutcome(mRegistry.onLeave("a", 700), "a", LeaveOutcome.Result.UNPLACED, false);
         assertThat(mRegistry.onReport(report("a", "1:1", 9, false), 10)).isFalse();
     }
 
-    /** A process that has just started is told of the targets after the leave has come. */
+    /** A process that has just started learns of the targets after it receives the notice. */
     @Test
     void leaveWithoutStartSuspendsIncarnationLearnedLater() {
         mRegistry.onLeave("a", 1000);
@@ -278,7 +277,7 @@
         assertThat(mRegistry.reports().get(0).leaving()).isFalse();
     }
 
-    /** Another process didn't know any incarnation of the id when the leave came. */
+    /** The process that received the leave notice did not know any incarnation of the id. */
     @Test
     void suspensionOfPlainIdAppliesToLatestIncarnation() {
         mRegistry.onReport(report("a#7", "1:1", 5, false), 100);
@@ -289,7 +288,7 @@
         assertThat(mRegistry.suspensions()).containsExactly(new Suspension("a#7", 200, false));
     }
 
-    /** Who is gone never comes back: a living engine would be lost for good. */
+    /** A removed target never returns, so a live engine would be lost permanently. */
     @Test
     void lateLeaveWithoutStartDoesNotRemoveSuccessor() {
         mRegistry.onReport(report("a#5", "1:1", 50, false), 0);
@@ -310,13 +309,11 @@
     }
 
     /**
-     * A young target's own leave was taken for its predecessor's, and changed nothing.
-     *
-     * <p>What users saw: requests reached a target, and ran there, more than the drain time after
-     * its leave was acknowledged, until it had lapsed. The order of events: a target starts again
-     * under its id; within 10 s it leaves without telling its birth, reports no more and serves on.
-     * The cause: such a leave was taken for the late word of the predecessor, which is gone anyway,
-     * and acknowledged. The evidence: see LeavingTargetTest.
+     * Guards against ignoring the leave notice of a target that has recently restarted: requests
+     * ran there for longer than the drain time after its notice was acknowledged, until it lapsed.
+     * The target restarts under its id, and within 10 s sends a notice without a start time, stops
+     * reporting and continues to serve. The notice was attributed to the predecessor, which had
+     * already ended. See LeavingTargetTest.
      */
     @Test
     void ambiguousLeaveSuspendsTarget() {
@@ -326,19 +323,16 @@
         mRegistry.onLeave("a", 4000);
 
         assertThat(mRegistry.reports().get(0).leaving()).isTrue();
-        // Made before the leave, and heard after it.
+        // Made before the notice, but received after it.
         mRegistry.onReport(
                 report("a#7", "1:1", 6, false), 4000 + Suspension.MAX_MESSAGE_DELAY_MILLIS);
         assertThat(mRegistry.reports().get(0).leaving()).isTrue();
     }
 
     /**
-     * A process that doesn't know of the predecessor ended a target that another one had suspended.
-     *
-     * <p>What callers would see: a target that lives gets no request any more. The order of events:
-     * a late leave of its predecessor suspends it; the acknowledgement is lost, and the leave comes
-     * again to a process that knows the target only. The cause: there it was taken for the target's
-     * own. The evidence: this test on the code before; found by reading.
+     * Guards against the permanent removal of a live target. A late leave notice of its predecessor
+     * suspends it; the acknowledgement is lost, and the notice is resent to a process that does not
+     * know the predecessor, where it was attributed to the target itself.
      */
     @Test
     void repeatedLeaveDoesNotRemoveSuspendedTarget() {
@@ -376,7 +370,7 @@
         assertThat(mRegistry.reports().get(0).leaving()).isFalse();
     }
 
-    /** An entry may have heard the last report before the suspension, or after it. */
+    /** An entry may receive the last report before the suspension, or after it. */
     @Test
     void followerMarksSuspendedTargetAsLeaving() {
         TargetRegistry follower = TargetRegistry.createFollower();
@@ -391,12 +385,10 @@
     }
 
     /**
-     * A target that had said that it leaves was ready again.
-     *
-     * <p>What users saw: requests reached a target after its leaving was acknowledged. The order of
-     * events: it says that it leaves, reports no more and lapses; a report from before, held up on
-     * its way, comes after that. The cause: of a target that lapses only its address was kept, so
-     * that the late report was that of a new target. The evidence: see LeavingTargetTest.
+     * Guards against restoring a leaving target, which got requests after its leaving was
+     * acknowledged. The target reports that it leaves, stops reporting and lapses; then an earlier
+     * report arrives late. Only the address of a lapsed target was kept, so the late report was
+     * treated as that of a new target. See LeavingTargetTest.
      */
     @Test
     void lateReportDoesNotRestoreLapsedLeavingTarget() {
@@ -411,13 +403,10 @@
     }
 
     /**
-     * A report that its sender leaves was dropped, and acknowledged.
-     *
-     * <p>What users saw: requests reached a target after its leaving was acknowledged, as long as
-     * it answered. The order of events: another target claims its address; its own reports are
-     * dropped as late ones of a target that has ended; it says that it leaves. The cause: that was
-     * dropped as well, and entries keep a target that still answers. The evidence: see
-     * LeavingTargetTest.
+     * Guards against discarding, but acknowledging, a report that its sender leaves, which
+     * continued to get requests as long as it answered. Another target claims the sender's address,
+     * so that its reports are discarded as late ones of an ended target. The leaving report was
+     * discarded as well, and entries keep a target that still answers. See LeavingTargetTest.
      */
     @Test
     void displacedTargetDepartsWhenItReportsLeaving() {
@@ -431,7 +420,7 @@
         assertThat(ids(mRegistry.reports())).containsExactly("b");
     }
 
-    /** It was out of reach for a while, or has changed its mind. */
+    /** The target was unreachable for a while, or has cancelled its shutdown. */
     @Test
     void newerReportRestoresLapsedLeavingTarget() {
         mRegistry.onReport(report("a", "1:1", 11, true), 0);
@@ -442,7 +431,7 @@
         assertThat(mRegistry.reports().get(0).leaving()).isTrue();
     }
 
-    /** Another process, which heard the target on, is told that it has lapsed elsewhere. */
+    /** This process still receives the target's reports when another one reports its lapse. */
     @Test
     void departureDoesNotRemoveTargetWithLaterReport() {
         mRegistry.onReport(report("a", "1:1", 15, true), 0);
@@ -454,7 +443,7 @@
         assertThat(mRegistry.reports()).isEmpty();
     }
 
-    /** What another process has suspended is told with the sequence that is known already. */
+    /** Another process sends a suspended target's report with an unchanged sequence. */
     @Test
     void leavingReportWinsAtEqualSequence() {
         mRegistry.onReport(report("a", "1:1", 5, false), 0);
@@ -466,22 +455,22 @@
     }
 
     /**
-     * The leave of a target whose reports are late was taken for that of its predecessor.
+     * Guards against attributing a leave notice to the predecessor only: in two runs of
+     * LeaveSoakTest with seed 45, 27 and 22 requests reached a target more than the drain time
+     * after its notice was acknowledged. The predecessor is unresponsive except for a late report.
+     * The target starts, sends a notice without a start time before any of its reports has arrived,
+     * and continues to serve; its first report arrives 4 s later. The notice suspended the
+     * predecessor, and the target was treated as one that had started after it.
      *
-     * <p>What a soak saw (LeaveSoakTest, seed 45, twice): 27 and 22 requests reached a target more
-     * than the drain time after its leave was acknowledged. The order of events: its predecessor is
-     * silent, but for a late report; it starts, leaves without telling its birth before any report
-     * of it has arrived, and serves on; 4 s later its first report comes. The cause: the leave
-     * suspended the predecessor, and who is heard of later was taken for one that started after it.
-     * The evidence: QD3009 {@code taken_for} the predecessor, {@code became=suspended}, then QD3001
-     * of the target, ready. That a late report made the predecessor seem to live, in the second
-     * run, is inferred: no line tells of one.
+     * <p>The log shows QD3009 {@code taken_for} the predecessor, {@code became=suspended}, then
+     * QD3001 of the target, ready. The late report of the predecessor in the second run is
+     * inferred, not logged.
      */
     @Test
     void leaveAlsoSuspendsSuccessorWhoseReportsAreLate() {
         mRegistry.onReport(report("a#5", "1:1", 50, false), 0);
         mRegistry.onReport(report("a#7", "1:1", 5, true), 100);
-        // Made before the one that it drains.
+        // Made before the report that it is leaving.
         mRegistry.onReport(report("a#7", "1:1", 4, false), 3000);
         mRegistry.onLeave("a", 4400);
 
@@ -493,7 +482,7 @@
         assertThat(mRegistry.reports().get(0).leaving()).isFalse();
     }
 
-    /** The predecessor has lapsed or is gone; its own leave may also have come again. */
+    /** The predecessor has left; the notice may be its own, resent, or its successor's. */
     @Test
     void leaveAfterDepartureSuspendsNextIncarnation() {
         mRegistry.onReport(report("a#5", "1:1", 50, false), 0);
--- a/quilldyke-core/src/test/java/org/quilldyke/instance/ControlLinkPlannerTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/instance/ControlLinkPlannerTest.java
@@ -144,7 +144,9 @@
                         .forEach(address -> opened.merge(address, 1, Integer::sum));
                 assertThat(members).hasSize(8);
             }
-            System.out.printf("%d entries lose 3 of 8 control processes: %s%n", entries, opened);
+            System.out.printf(
+                    "reconnects of %d entries after 3 of 8 control processes failed: %s%n",
+                    entries, opened);
 
             assertThat(opened).hasSize(5);
             int total = opened.values().stream().mapToInt(Integer::intValue).sum();
@@ -153,7 +155,7 @@
         }
     }
 
-    /** Starts an entry that knows three seeds of a group whose members are in other domains. */
+    /** Creates the planner of an entry with up to three seeds, all in other failure domains. */
     private List<String> start(Random random, int members, int toleratedLosses) {
         mDomains.clear();
         mAlive.clear();
@@ -171,7 +173,7 @@
         return all;
     }
 
-    /** Loses first those to which the entry has streams. */
+    /** Stops control processes, first those to which the entry has streams. */
     private void failLinkedFirst(List<String> members, int count) {
         List<String> failed = new ArrayList<>(mOpenedAt.keySet());
         members.stream().filter(member -> !failed.contains(member)).forEach(failed::add);
