--- a/quilldyke-core/src/main/java/org/quilldyke/Invariant.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/Invariant.java
@@ -18,10 +18,11 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Checks of what must always hold, kept on in production.
+ * Invariant checks that stay enabled in production.
  *
- * <p>A broken invariant refuses the one request or message at hand with {@link
- * ResultCode#INVARIANT_BROKEN}; the caller logs it, and {@link #brokenCount} feeds a metric.
+ * <p>A violated invariant rejects only the current request or message, with {@link
+ * ResultCode#INVARIANT_BROKEN}; the caller logs it, and {@link #brokenCount} is exported as a
+ * metric.
  */
 public final class Invariant {
     private static final AtomicLong BROKEN = new AtomicLong();
@@ -32,7 +33,7 @@
      * Checks that {@code holds} is true.
      *
      * @param holds the condition
-     * @param expectation what was expected, for the log
+     * @param expectation the condition in words, for the log
      * @throws QuilldykeException if the condition is false
      */
     public static void check(boolean holds, String expectation) throws QuilldykeException {
@@ -42,7 +43,7 @@
         }
     }
 
-    /** Returns how many checks have failed in this process. */
+    /** Returns the number of checks that have failed in this process. */
     public static long brokenCount() {
         return BROKEN.get();
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/Outcome.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/Outcome.java
@@ -15,9 +15,9 @@
  */
 package org.quilldyke;
 
-/** What became of a request, as told to its caller. */
+/** The outcome of a request, as reported to its caller. */
 public enum Outcome {
-    /** No byte of the request reached a target, or the target itself refused it unrun. */
+    /** No byte of the request reached a target, or the target refused it without running it. */
     NOT_RUN("not-run") {
         @Override
         public boolean mayRetry(boolean repeatable) {
@@ -31,7 +31,7 @@
             return repeatable;
         }
     },
-    /** Bytes were sent, and what the target made of them isn't known. */
+    /** Bytes were sent, but it is unknown whether the target ran the request. */
     UNKNOWN("unknown") {
         @Override
         public boolean mayRetry(boolean repeatable) {
@@ -53,8 +53,8 @@
     }
 
     /**
-     * Returns what became of a request over two attempts: it ran if either ran, and it surely did
-     * not run only if neither may have.
+     * Returns the outcome of a request after two attempts: it ran if either attempt ran, and it is
+     * known not to have run only if neither attempt may have.
      */
     public Outcome combinedWith(Outcome other) {
         if (this == RAN || other == RAN) {
@@ -64,7 +64,7 @@
     }
 
     /**
-     * Returns whether another attempt keeps the promise made for the request.
+     * Returns whether another attempt is allowed after this outcome.
      *
      * @param repeatable whether the caller allows more than one run
      */
--- a/quilldyke-core/src/main/java/org/quilldyke/QuilldykeException.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/QuilldykeException.java
@@ -16,7 +16,7 @@
 package org.quilldyke;
 
 /**
- * The checked exception of the library: a numbered code, what became of the request, and details.
+ * The checked exception of the library: a numbered code, the outcome of the request, and details.
  */
 public final class QuilldykeException extends Exception {
     private final ResultCode mCode;
@@ -50,7 +50,7 @@
         return new QuilldykeException(code, outcome, detail, 0, null);
     }
 
-    /** Returns an exception with an outcome and the exception that led to it. */
+    /** Returns an exception with an outcome and a cause. */
     public static QuilldykeException of(
             ResultCode code, Outcome outcome, String detail, Throwable cause) {
         return new QuilldykeException(code, outcome, detail, 0, cause);
@@ -61,12 +61,12 @@
         return mCode;
     }
 
-    /** Returns what became of the request. */
+    /** Returns the outcome of the request. */
     public Outcome outcome() {
         return mOutcome;
     }
 
-    /** Returns after how many milliseconds the caller may try again, 0 if nothing is known. */
+    /** Returns after how many milliseconds the caller may retry, 0 if unknown. */
     public long retryAfterMillis() {
         return mRetryAfterMillis;
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/ResultCode.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/ResultCode.java
@@ -18,8 +18,8 @@
 /**
  * The numbered result codes that callers, operators and targets see.
  *
- * <p>The table for users is docs/RESULT-CODES.md; a test keeps the two equal. Numbers are never
- * used again for another meaning. 1xxx concern the request, 2xxx the routing and the run, 3xxx
+ * <p>The table for users is docs/RESULT-CODES.md; a test checks that both agree. Numbers are never
+ * reused for another meaning. 1xxx concern the request, 2xxx the routing and the run, 3xxx
  * operators, 4xxx settings and files, 9xxx faults of the program itself.
  */
 public enum ResultCode {
@@ -114,7 +114,7 @@
         return mHttpStatus;
     }
 
-    /** Returns one line for people. */
+    /** Returns a one-line description. */
     public String meaning() {
         return mMeaning;
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/control/Ballot.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/Ballot.java
@@ -16,12 +16,12 @@
 package org.quilldyke.control;
 
 /**
- * What a replica must remember about elections.
+ * The election state that a replica keeps across restarts.
  *
- * @param term the latest term it knows
- * @param votedFor whom it voted for in that term, empty for nobody
- * @param trusted whether its log may be relied on: false after the loss of its disk, until it holds
- *     the leader's whole log again
+ * @param term the latest term that the replica knows
+ * @param votedFor the candidate that it voted for in that term, empty for none
+ * @param trusted whether the replica may vote and counts towards majorities: false after the loss
+ *     of its disk, until it holds the leader's whole log again
  */
 public record Ballot(long term, String votedFor, boolean trusted) {
     /** Returns the ballot of a replica whose disk is empty. */
@@ -29,7 +29,10 @@
         return new Ballot(0, "", false);
     }
 
-    /** Returns whether the vote of this term is free for a candidate, or is its own already. */
+    /**
+     * Returns whether the replica may vote for a candidate in this term: it hasn't voted yet, or
+     * has voted for the same candidate.
+     */
     public boolean mayVoteFor(String candidate) {
         return votedFor.isEmpty() || votedFor.equals(candidate);
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/control/Claim.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/Claim.java
@@ -16,16 +16,17 @@
 package org.quilldyke.control;
 
 /**
- * The right to run a request that must not run twice, and in the end its answer.
+ * The exclusive right to run a request that must not run twice, and its answer once there is one.
  *
- * @param fingerprint a hash of the request, so that another request under the same key is noticed
- * @param requestId the one request that may run
+ * @param fingerprint a hash of the request, to detect a different request under the same key
+ * @param requestId the only request that may run under the key
  * @param state what is known of the run
  * @param status HTTP status of the stored answer
  * @param answer the stored answer's body, empty if there is none
  * @param contentType the stored answer's content type
- * @param expiresAt when the claim is forgotten, in milliseconds since the epoch
- * @param runningUntil until when an unfinished run may still report, then its state is unknown
+ * @param expiresAt when the claim is removed, in milliseconds since the epoch
+ * @param runningUntil until when an unfinished run may report its answer, in milliseconds since the
+ *     epoch; after that its outcome is unknown
  */
 public record Claim(
         String fingerprint,
@@ -39,11 +40,11 @@
 
     /** What is known of the run. */
     public enum State {
-        /** Claimed; the run may be under way. */
+        /** Claimed; the run may be in progress. */
         CLAIMED,
         /** Ran; the answer is stored. */
         ANSWERED,
-        /** May have run; no answer is known and none will be. */
+        /** May have run; no answer is known. */
         UNKNOWN
     }
 
@@ -60,7 +61,7 @@
                 runningUntil);
     }
 
-    /** Returns this claim with its run's fate unknown. */
+    /** Returns this claim with an unknown outcome of its run. */
     public Claim unknown() {
         return new Claim(fingerprint, requestId, State.UNKNOWN, 0, "", "", expiresAt, runningUntil);
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/control/ClaimTable.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/ClaimTable.java
@@ -34,7 +34,7 @@
         return new ClaimTable();
     }
 
-    /** Grants a claim, or tells what became of the request that holds it. */
+    /** Grants a claim, or returns the outcome of the request that holds it. */
     Result claim(Command.ClaimRun c, long now) {
         String id = id(c.organisation(), c.key());
         Claim existing = mClaims.get(id);
@@ -74,7 +74,7 @@
         return new Result(ResultCode.OK, null);
     }
 
-    /** Stores the answer of a claimed run, or that its fate is unknown. */
+    /** Stores the answer of a claimed run, or that its outcome is unknown. */
     Result close(Command.CloseClaim c) {
         String id = id(c.organisation(), c.key());
         Claim existing = mClaims.get(id);
@@ -92,7 +92,7 @@
         return new Result(ResultCode.OK, closed);
     }
 
-    /** Forgets the claims whose time is over. */
+    /** Removes the expired claims. */
     void expire(long now) {
         while (!mByExpiry.isEmpty() && mByExpiry.firstKey() <= now) {
             mByExpiry.pollFirstEntry().getValue().forEach(mClaims::remove);
@@ -114,7 +114,7 @@
 
     private Result claimUnfinished(String id, Claim existing, Command.ClaimRun c, long now) {
         if (existing.requestId().equals(c.requestId())) {
-            // The same request asks again, since it lost the answer: it may run, once.
+            // A resend, since the reply to the first claim was lost: the request may run, once.
             return new Result(ResultCode.OK, existing);
         }
         if (now < existing.runningUntil()) {
@@ -138,6 +138,6 @@
         return organisation + "/" + key;
     }
 
-    /** What a command on a claim led to. */
+    /** The result of a command on a claim. */
     record Result(ResultCode code, Claim claim) {}
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/control/Command.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/Command.java
@@ -16,21 +16,25 @@
 package org.quilldyke.control;
 
 /**
- * A change of the control state, as proposed to the log. Times are milliseconds since the epoch.
+ * A change of the control state that is proposed to the log. Times are milliseconds since the
+ * epoch.
  */
 public sealed interface Command {
 
-    /** Returns the proposing replica's clock; the state never lets time go back. */
+    /**
+     * Returns the time by the proposing replica's clock; the state uses the newest time applied so
+     * far if that is later.
+     */
     long at();
 
     /**
-     * States an intent and makes the plan.
+     * Submits an operator's intent and creates its plan.
      *
-     * @param number the operator's number
-     * @param intentId the same for each resend of one intent
-     * @param operator who states it
-     * @param intent what is wanted
-     * @param engines live engines of the service concerned, for the note on capacity
+     * @param number the operator's number for the plan
+     * @param intentId identifies the intent; the same for each resend
+     * @param operator the operator who submits the intent
+     * @param intent the requested change
+     * @param engines number of live engines of the service concerned, for the plan's capacity note
      */
     record StateIntent(
             String number, String intentId, String operator, Intent intent, int engines, long at)
@@ -39,7 +43,7 @@
     /** Confirms a plan. */
     record ConfirmPlan(String number, long at) implements Command {}
 
-    /** Reads a plan as of this entry; changes nothing. */
+    /** Reads a plan as of this entry; changes no state. */
     record ReadPlan(String number, long at) implements Command {}
 
     /** Records an order before it is sent; its fencing number is this entry's index. */
@@ -48,20 +52,20 @@
     /** Records that a target has reported the result of an order. */
     record CloseOrder(String number, String target, long at) implements Command {}
 
-    /** Ends a plan: every order is done. */
+    /** Completes a plan whose orders are all done. */
     record FinishPlan(String number, long at) implements Command {}
 
-    /** Stops a plan. */
+    /** Marks a running plan as failed. */
     record FailPlan(String number, String why, long at) implements Command {}
 
     /**
      * Claims the right to run a request that must not run twice.
      *
-     * @param organisation whose key it is
+     * @param organisation the organisation that the key belongs to
      * @param key the idempotency key
      * @param fingerprint a hash of the request
      * @param requestId the request that will run
-     * @param runMillis how long the run may take before its fate counts as unknown
+     * @param runMillis how long the run may take before its outcome is treated as unknown
      * @param keepMillis how long the claim and its answer are kept
      */
     record ClaimRun(
@@ -74,11 +78,11 @@
             long at)
             implements Command {}
 
-    /** Gives a claim back: the request did not run. */
+    /** Releases a claim whose request did not run. */
     record ReleaseClaim(String organisation, String key, String requestId, long at)
             implements Command {}
 
-    /** Stores the answer of a claimed run; an empty status says that its fate is unknown. */
+    /** Stores the answer of a claimed run; status 0 means that its outcome is unknown. */
     record CloseClaim(
             String organisation,
             String key,
--- a/quilldyke-core/src/main/java/org/quilldyke/control/CommandResult.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/CommandResult.java
@@ -18,19 +18,20 @@
 import org.quilldyke.ResultCode;
 
 /**
- * What applying a command led to; the same on every replica.
+ * The result of applying a command; the same on every replica.
  *
  * @param code {@link ResultCode#OK} or why the command was refused, in which case it changed
  *     nothing
- * @param version the configuration's version after it
+ * @param version the configuration's version after the command
  * @param index the log index of the entry
- * @param plan the plan concerned, or null; for {@link ResultCode#PLAN_CONFLICT} the one that won
+ * @param plan the plan concerned, or null; for {@link ResultCode#PLAN_CONFLICT} the plan that
+ *     already has this number
  * @param claim the claim concerned, or null
- * @param detail more for people, or empty
+ * @param detail additional text for people, or empty
  */
 public record CommandResult(
         ResultCode code, long version, long index, Plan plan, Claim claim, String detail) {
-    /** Returns whether the command had its effect, now or when it was first sent. */
+    /** Returns whether the command took effect, now or when it was first sent. */
     public boolean isOk() {
         return code == ResultCode.OK;
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/control/Compaction.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/Compaction.java
@@ -18,13 +18,13 @@
 import java.util.List;
 
 /**
- * A cut of the log: a snapshot stands for the entries up to {@code index}.
+ * A compaction of the log: a snapshot replaces the entries up to {@code index}.
  *
  * @param index the last entry that the snapshot covers
  * @param term that entry's term
- * @param membership who replicated the log as of that entry
- * @param snapshot the snapshot
- * @param remainingEntries the entries after it
+ * @param membership the membership as of that entry
+ * @param snapshot the encoded state
+ * @param remainingEntries the entries after {@code index}
  */
 public record Compaction(
         long index,
--- a/quilldyke-core/src/main/java/org/quilldyke/control/Configuration.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/Configuration.java
@@ -23,15 +23,15 @@
 import java.util.function.ToLongFunction;
 
 /**
- * What operators have agreed on, as one immutable value with a version that only rises.
+ * The configuration that operators have confirmed: an immutable value whose version only increases.
  *
- * <p>Each object carries the version of its last change, so that a plan can tell whether what it
- * read still holds.
+ * <p>Each object carries the version of its last change, so that a plan can detect that an object
+ * it was made from has changed since.
  *
  * @param version rises with each change; 0 for the empty configuration
  * @param organisations by name
  * @param models by name
- * @param targets policies by target id; a target without one is in normal use
+ * @param targets policies by target id; a target without a policy is in normal use
  */
 public record Configuration(
         long version,
@@ -51,7 +51,7 @@
             String name, List<String> tokenHashes, int maxConcurrent, long version) {}
 
     /**
-     * A model and the weights that may answer for it.
+     * A model and the weight versions that may serve it.
      *
      * @param name the name that callers use
      * @param service the service whose engines run it
@@ -61,7 +61,7 @@
      */
     public record Model(
             String name, String service, String weights, String previousWeights, long version) {
-        /** Returns whether an engine with the given weights may answer. */
+        /** Returns whether an engine with the given weights may serve the model. */
         public boolean accepts(String loaded) {
             return loaded.equals(weights)
                     || (!previousWeights.isEmpty() && loaded.equals(previousWeights));
@@ -69,7 +69,7 @@
     }
 
     /**
-     * What operators want of a target.
+     * An operator's settings for a target.
      *
      * @param id the target
      * @param retired whether it gets no new work
@@ -151,7 +151,7 @@
     /**
      * Returns what has changed since an earlier version: only the objects changed later.
      *
-     * @param base the version that the receiver has at least
+     * @param base a version that the receiver has reached
      */
     public Delta since(long base) {
         return new Delta(
@@ -164,8 +164,8 @@
     }
 
     /**
-     * Returns this configuration brought up to date. Nothing is ever removed, so the changed
-     * objects say it all.
+     * Returns this configuration with a delta applied. Objects are never removed, so the changed
+     * objects suffice.
      *
      * @return the newer configuration, or this one if the delta is old or starts after this version
      */
@@ -217,18 +217,18 @@
     }
 
     /**
-     * What changed between two versions.
+     * The changes between two versions.
      *
-     * @param base the version from which on the changes count
-     * @param changed the later version, with the objects that changed since
+     * @param base the earlier version
+     * @param changed the later version, with only the objects that changed since {@code base}
      */
     public record Delta(long base, Configuration changed) {}
 
     /**
-     * Names an object of the configuration.
+     * Identifies an object of the configuration.
      *
-     * @param kind which map
-     * @param name the key in it
+     * @param kind the kind of object, each of which has its own map
+     * @param name the object's key in that map
      */
     public record ObjectKey(Kind kind, String name) {
         /** The kinds of objects. */
--- a/quilldyke-core/src/main/java/org/quilldyke/control/ControlState.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/ControlState.java
@@ -24,13 +24,13 @@
 import org.quilldyke.ResultCode;
 
 /**
- * The state that the replicated log's entries make: configuration, plans and claims.
+ * The state machine of the replicated log: configuration, plans and claims.
  *
  * <p>Applying the same entries in the same order gives the same state and the same results on every
- * replica. Each command is idempotent: sent again, it gets the result of the first time.
+ * replica. Commands are idempotent: a resent command gets the result of its first execution.
  */
 public final class ControlState {
-    /** Plans that are kept after their end, so that late resends still get their answer. */
+    /** Ended plans that are kept, so that a late resend of a command still gets its result. */
     static final int MAX_ENDED_PLANS = 10_000;
 
     private Configuration mConfiguration = Configuration.empty();
@@ -72,7 +72,7 @@
      *
      * @param index the entry's index
      * @param command the command
-     * @throws QuilldykeException if an invariant breaks
+     * @throws QuilldykeException if an invariant is violated
      */
     public CommandResult apply(long index, Command command) throws QuilldykeException {
         long previousVersion = mConfiguration.version();
@@ -80,7 +80,8 @@
         mClaims.expire(mLatestCommandMillis);
         CommandResult result = dispatch(index, command);
         Invariant.check(
-                mConfiguration.version() >= previousVersion, "the configuration's version rises");
+                mConfiguration.version() >= previousVersion,
+                "the configuration's version never decreases");
         return result;
     }
 
@@ -94,7 +95,7 @@
         return mPlans.get(number);
     }
 
-    /** Returns the plans that wait for a confirmation or are being carried out. */
+    /** Returns the plans that wait for a confirmation or are running. */
     public List<Plan> openPlans() {
         List<Plan> open = new ArrayList<>();
         for (Plan plan : mPlans.values()) {
@@ -105,7 +106,7 @@
         return open;
     }
 
-    /** Returns the number of claims held. */
+    /** Returns the number of claims that are held. */
     public int claimCount() {
         return mClaims.size();
     }
@@ -258,7 +259,11 @@
     private CommandResult finishPlan(long index, Command.FinishPlan c) {
         Plan plan = mPlans.get(c.number());
         if (plan == null || plan.state() != Plan.State.RUNNING || plan.openOrders() > 0) {
-            return planResult(index, ResultCode.PLAN_STALE, plan, "the plan can't be finished");
+            return planResult(
+                    index,
+                    ResultCode.PLAN_STALE,
+                    plan,
+                    "the plan isn't running or has open orders");
         }
         if (plan.intent() instanceof Intent.PutModel i) {
             mConfiguration =
@@ -299,13 +304,13 @@
     }
 
     /**
-     * The whole state as a value.
+     * A copy of the whole state.
      *
      * @param configuration the configuration in force
      * @param plans the plans by number
      * @param endedPlans the numbers of ended plans, oldest first
      * @param claims the claims by organisation and key
-     * @param lastAt the newest time of any command
+     * @param lastAt the newest time of any applied command, in milliseconds since the epoch
      */
     public record Snapshot(
             Configuration configuration,
--- a/quilldyke-core/src/main/java/org/quilldyke/control/DurableState.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/DurableState.java
@@ -18,13 +18,13 @@
 import java.util.List;
 
 /**
- * What a replica finds on its disk at start.
+ * The state that a replica loads from its disk when it starts.
  *
  * @param ballot its ballot, {@link Ballot#empty} if the disk is empty
  * @param snapshotIndex the last entry that the stored snapshot covers, 0 for no snapshot
  * @param snapshotTerm that entry's term
  * @param snapshot the state, empty for no snapshot
- * @param snapshotMembership who replicated the log as of the snapshot; empty if there is none
+ * @param snapshotMembership the membership as of the snapshot; empty if there is none
  * @param entries the entries after the snapshot
  */
 public record DurableState(
--- a/quilldyke-core/src/main/java/org/quilldyke/control/ElectionEligibility.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/ElectionEligibility.java
@@ -16,14 +16,16 @@
 package org.quilldyke.control;
 
 /**
- * Whether a replica that hears no leader asks to be elected.
+ * Decides whether a replica without a leader may start an election.
  *
- * <p>A voter does. A replica that was a voter until a change that it doesn't know to be committed
- * stands in: if it alone still holds that change, its log is the newest, and no voter can be
- * elected against it. It leaves the voters time to elect one of themselves first.
+ * <p>A voter may. A replica that was a voter until a membership change that it doesn't know to be
+ * committed may, too: if it alone holds that change, its log is the newest and no voter can win an
+ * election against it. It waits longer, so that the voters can elect one of themselves first.
  */
 final class ElectionEligibility {
-    /** A stand-in lets this many of its timeouts pass: some election time and a half. */
+    /**
+     * A former voter waits for this many timeouts, about one and a half election timeouts in all.
+     */
     private static final int FORMER_VOTER_TIMEOUTS = 8;
 
     private final String mSelf;
@@ -35,25 +37,25 @@
         mStoredLog = storedLog;
     }
 
-    /** Notes a timeout; returns whether to ask. */
+    /** Counts a timeout; returns whether to start a pre-vote. */
     boolean onTimeout() {
         mTimeoutsWithoutLeader++;
         return isVoter()
-                || isVoterBeforeUncommittedChange()
+                || wasVoterBeforeUncommittedChange()
                         && mTimeoutsWithoutLeader > FORMER_VOTER_TIMEOUTS;
     }
 
-    /** Notes that there is a leader. */
+    /** Resets the count of timeouts, since there is a leader. */
     void onLeaderContact() {
         mTimeoutsWithoutLeader = 0;
     }
 
-    /** Returns whether the replica is a voter by its own log. */
+    /** Returns whether the replica is a voter in the last membership of its own log. */
     boolean isVoter() {
         return mStoredLog.log().membership().isVoter(mSelf);
     }
 
-    private boolean isVoterBeforeUncommittedChange() {
+    private boolean wasVoterBeforeUncommittedChange() {
         long membershipIndex = mStoredLog.log().membershipIndex();
         return membershipIndex > mStoredLog.commitIndex()
                 && mStoredLog.log().membershipAt(membershipIndex - 1).isVoter(mSelf);
--- a/quilldyke-core/src/main/java/org/quilldyke/control/ElectionTimer.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/ElectionTimer.java
@@ -18,17 +18,17 @@
 import java.util.random.RandomGenerator;
 
 /**
- * When a replica that hears no leader asks to be elected.
+ * Determines when a replica without a leader starts an election.
  *
- * <p>The time is drawn between one and two election timeouts. It doubles with each election that
- * fails, so that votes which slow disks hold up still arrive within one election. Asking whether an
- * election would be won binds nobody and writes nothing, so that is tried sooner: at the start,
- * when all replicas may have been killed together, and again while no majority answers.
+ * <p>The delay is drawn between one and two election timeouts. It doubles with each failed
+ * election, so that votes delayed by slow disks still arrive within one election. A pre-vote binds
+ * no replica and writes nothing to disk, so it is started sooner: after the start, since all
+ * replicas may have been killed together, and again as long as no majority grants it.
  */
 final class ElectionTimer {
     private static final int MAX_BACKOFF_FACTOR = 8;
 
-    /** The part of an election timeout after which it is asked first, or again. */
+    /** A pre-vote is delayed by one to two times the election timeout divided by this. */
     private static final int PRE_VOTE_DELAY_DIVISOR = 8;
 
     private final long mElectionMillis;
@@ -42,25 +42,25 @@
         restartForPreVote(now);
     }
 
-    /** Starts to wait for a short while: an election can't begin before others are asked anyway. */
+    /** Restarts the timer with the short delay of a pre-vote, which precedes every election. */
     void restartForPreVote(long now) {
         long preVoteDelayMillis = Math.max(1, mElectionMillis / PRE_VOTE_DELAY_DIVISOR);
         mDeadline =
                 now + mBackoffFactor * (preVoteDelayMillis + mRandom.nextLong(preVoteDelayMillis));
     }
 
-    /** Starts to wait anew. */
+    /** Restarts the timer with one to two election timeouts, times the backoff factor. */
     void restart(long now) {
         mDeadline = now + mBackoffFactor * (mElectionMillis + mRandom.nextLong(mElectionMillis));
     }
 
-    /** Starts to wait anew, for longer. */
+    /** Doubles the delay, up to a limit, and restarts the timer. */
     void restartAfterFailedElection(long now) {
         mBackoffFactor = Math.min(MAX_BACKOFF_FACTOR, 2 * mBackoffFactor);
         restart(now);
     }
 
-    /** Starts to wait anew, since a leader was heard. */
+    /** Resets the delay and restarts the timer, since there is a leader. */
     void restartOnLeaderContact(long now) {
         mBackoffFactor = 1;
         restart(now);
--- a/quilldyke-core/src/main/java/org/quilldyke/control/FollowerProgress.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/FollowerProgress.java
@@ -15,9 +15,9 @@
  */
 package org.quilldyke.control;
 
-/** What a leader knows of one follower. */
+/** The state of a leader's replication to one follower. */
 final class FollowerProgress {
-    /** Entries may be sent ahead of their acknowledgement by this many messages. */
+    /** Maximum number of unacknowledged messages with entries. */
     private static final int MAX_IN_FLIGHT = 8;
 
     private long mNextIndex;
@@ -52,14 +52,14 @@
     }
 
     /**
-     * Returns whether another message may be sent before the last ones are answered. While it isn't
-     * known where the logs agree, one message at a time is enough to find out.
+     * Returns whether another message may be sent before the previous ones are answered. As long as
+     * it is unknown up to where the logs agree, one message at a time is enough to find out.
      */
     boolean maySend() {
         return mInFlight < (mProbing ? 1 : MAX_IN_FLIGHT);
     }
 
-    /** Returns whether a heartbeat is due, which also frees a window whose replies were lost. */
+    /** Returns whether a heartbeat is due, which also releases a window whose replies were lost. */
     boolean isHeartbeatDue(long now, long heartbeatMillis) {
         return mLastSentAt == Long.MIN_VALUE || now - mLastSentAt >= heartbeatMillis;
     }
@@ -70,7 +70,7 @@
         mLastSentAt = now;
     }
 
-    /** Sends again from what is known to match, since replies are overdue. */
+    /** Continues after the last entry known to match, since replies are overdue. */
     void rewind() {
         if (mMatchIndex > 0) {
             mNextIndex = mMatchIndex + 1;
@@ -84,7 +84,7 @@
     }
 
     void onMatched(long index, boolean learner) {
-        // A learner has lost its disk, so what it once acknowledged is void.
+        // A learner has lost its disk, so its earlier acknowledgements are invalid.
         mMatchIndex = learner ? index : Math.max(mMatchIndex, index);
         mNextIndex = Math.max(mNextIndex, mMatchIndex + 1);
         mLearner = learner;
@@ -92,7 +92,9 @@
         mSnapshotOffset = 0;
     }
 
-    /** Goes back to where the logs may agree, unless that was tried since. */
+    /**
+     * Goes back to where the logs may agree, unless that index or an earlier one is being tried.
+     */
     void onMismatch(long retryIndex, boolean learner) {
         if (mProbing && retryIndex >= mNextIndex) {
             return;
@@ -106,7 +108,7 @@
         mInFlight = 0;
     }
 
-    /** Returns the offset of the next piece of the snapshot that ends at {@code index}. */
+    /** Returns the offset of the next chunk of the snapshot that ends at {@code index}. */
     int snapshotOffset(long index) {
         if (mSnapshotIndex != index) {
             mSnapshotIndex = index;
--- a/quilldyke-core/src/main/java/org/quilldyke/control/FollowerStatus.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/FollowerStatus.java
@@ -16,22 +16,26 @@
 package org.quilldyke.control;
 
 /**
- * What a leader knows of another replica.
+ * The status of another replica, as known to the leader.
  *
  * @param id the replica
  * @param matchIndex the last entry that it is known to have synced
- * @param lastContactAt when the newest message was sent that it has answered, in milliseconds of
+ * @param lastContactAt when the newest message that it has answered was sent, in milliseconds of
  *     the leader's clock; {@link Long#MIN_VALUE} if it has answered none
  */
 public record FollowerStatus(String id, long matchIndex, long lastContactAt) {
-    /** Returns for how long the replica hasn't answered. */
+    /**
+     * Returns the time since the last contact or, if that is later, since {@code leaderSince}, in
+     * milliseconds.
+     */
     public long millisSinceContact(long now, long leaderSince) {
         return now - Math.max(lastContactAt, leaderSince);
     }
 
     /**
-     * Returns whether the replica has answered within the last {@code millis}. One that has
-     * answered none hasn't: the time since then would overflow, and stand for a moment ago.
+     * Returns whether the replica has answered a message sent within the last {@code millis}.
+     * Compares points in time, since for a replica that has never answered the duration {@code now
+     * - lastContactAt} overflows and looks like a recent contact.
      */
     public boolean hasContactWithin(long millis, long now) {
         return lastContactAt > now - millis;
--- a/quilldyke-core/src/main/java/org/quilldyke/control/Followers.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/Followers.java
@@ -24,7 +24,7 @@
 import java.util.Optional;
 import java.util.function.ToLongFunction;
 
-/** The followers of a leader during its term: what each holds, and what to send next. */
+/** The followers of a leader during its term: what each has stored, and what to send next. */
 final class Followers {
     private final ReplicaSettings mSettings;
     private final ReplicatedLog mLog;
@@ -45,7 +45,9 @@
         return followers;
     }
 
-    /** Takes the log's membership: follows new members, and those that left no longer. */
+    /**
+     * Applies the log's membership: starts tracking new members and stops tracking removed ones.
+     */
     void onMembershipChange() {
         List<String> others = mLog.membership().others(mSettings.self());
         mProgress.keySet().retainAll(others);
@@ -63,7 +65,7 @@
         return mProgress.containsKey(id);
     }
 
-    /** Returns what is known of each other member. */
+    /** Returns the status of each other member. */
     List<FollowerStatus> status() {
         List<FollowerStatus> all = new ArrayList<>();
         mProgress.forEach(
@@ -74,7 +76,7 @@
         return all;
     }
 
-    /** Returns the other voter that holds most of the log. */
+    /** Returns the other voter whose log is the most complete. */
     Optional<String> mostUpToDateVoter() {
         return status().stream()
                 .filter(status -> mLog.membership().isVoter(status.id()))
@@ -84,7 +86,10 @@
                 .map(FollowerStatus::id);
     }
 
-    /** Sends entries, or none, to each follower that was sent nothing for a heartbeat's time. */
+    /**
+     * Sends entries, or an empty heartbeat, to each follower that was sent nothing for a heartbeat
+     * interval.
+     */
     List<ReplicaAction> sendHeartbeats(byte[] snapshot, long commitIndex, long now) {
         mMinimumVotersWait.update(now);
         List<ReplicaAction> actions = new ArrayList<>();
@@ -132,8 +137,9 @@
     }
 
     /**
-     * Returns the time up to which a majority of the voters, the leader included, has surely heard
-     * the leader; {@link Long#MIN_VALUE} if that many have not answered yet. Learners don't count.
+     * Returns the time, by the leader's clock, up to which a majority of the voters, the leader
+     * included, is known to have received messages from the leader; {@link Long#MIN_VALUE} if too
+     * few have answered yet. Learners don't count.
      */
     long quorumContactAt(long now) {
         return majorityValue(now, Long.MIN_VALUE, FollowerProgress::ackedSentAt);
--- a/quilldyke-core/src/main/java/org/quilldyke/control/IncomingSnapshot.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/IncomingSnapshot.java
@@ -17,12 +17,15 @@
 
 import java.util.Arrays;
 
-/** Collects the pieces of a snapshot that a leader sends. */
+/** Collects the chunks of a snapshot that a leader sends. */
 final class IncomingSnapshot {
     private byte[] mBytes = new byte[0];
     private long mIndex;
 
-    /** Takes a piece, if it is the next one; a first piece starts anew. */
+    /**
+     * Adds a chunk if it is the next one. A chunk at offset 0, or of another snapshot, discards the
+     * chunks received before.
+     */
     void addChunk(PeerMessage.SnapshotRequest m) {
         if (m.offset() == 0 || m.index() != mIndex) {
             mBytes = new byte[0];
@@ -34,17 +37,17 @@
         }
     }
 
-    /** Returns how many bytes are here. */
+    /** Returns the number of bytes received. */
     int size() {
         return mBytes.length;
     }
 
-    /** Returns the answer to a piece that isn't the last. */
+    /** Returns the reply to a chunk that isn't the last. */
     PeerMessage replyTo(PeerMessage.SnapshotRequest m, long term) {
         return new PeerMessage.SnapshotReply(term, m.index(), size(), m.sentAt());
     }
 
-    /** Returns the whole snapshot and forgets it. */
+    /** Returns the received snapshot and clears it. */
     byte[] take() {
         byte[] bytes = mBytes;
         mBytes = new byte[0];
--- a/quilldyke-core/src/main/java/org/quilldyke/control/Intent.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/Intent.java
@@ -18,20 +18,20 @@
 import java.util.List;
 import org.quilldyke.control.Configuration.ObjectKey;
 
-/** What an operator wants, before it is planned. */
+/** A change requested by an operator, before it is planned. */
 public sealed interface Intent {
 
     /** Returns the objects that the plan reads and changes. */
     List<ObjectKey> affectedObjects();
 
-    /** Returns why the intent doesn't fit {@code configuration}, empty if it does. */
+    /** Returns why the intent is invalid for {@code configuration}, empty if it is valid. */
     String validationError(Configuration configuration);
 
-    /** Returns what will be done, a line a step, for the operator to read before confirming. */
+    /** Returns the steps of the plan, one line each, for the operator to read before confirming. */
     List<String> steps(Configuration configuration);
 
     /**
-     * Admits an organisation or replaces its tokens and limit.
+     * Adds an organisation, or replaces its tokens and limit.
      *
      * @param name the organisation
      * @param tokenHashes SHA-256 of each bearer token, in lower-case hex
@@ -106,7 +106,9 @@
             if (!existing.service().equals(service)) {
                 return "a model can't change its service";
             }
-            return existing.previousWeights().isEmpty() ? "" : "a roll-out of it is under way";
+            return existing.previousWeights().isEmpty()
+                    ? ""
+                    : "a roll-out of the model is in progress";
         }
 
         @Override
@@ -123,10 +125,10 @@
     }
 
     /**
-     * Takes a target out of use, or back into it.
+     * Retires a target, or puts it back into use.
      *
      * @param target the target's id
-     * @param retired true to take it out
+     * @param retired true to retire it
      */
     record SetRetired(String target, boolean retired) implements Intent {
         @Override
--- a/quilldyke-core/src/main/java/org/quilldyke/control/LogEntry.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/LogEntry.java
@@ -19,8 +19,8 @@
  * An entry of the replicated log.
  *
  * @param term the term of the leader that appended it
- * @param payload the encoded command; empty in an opening entry and in a change of membership
- * @param membership who replicates the log from this entry on, or null if that doesn't change
+ * @param payload the encoded command; empty in a no-op entry and in a change of membership
+ * @param membership the membership from this entry on, or null if it doesn't change
  */
 public record LogEntry(long term, byte[] payload, Membership membership) {
     private static final byte[] EMPTY = new byte[0];
@@ -30,7 +30,7 @@
         this(term, payload, null);
     }
 
-    /** Returns the entry with which a new leader opens its term. */
+    /** Returns the no-op entry that a new leader appends first in its term. */
     public static LogEntry noOp(long term) {
         return new LogEntry(term, EMPTY, null);
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/control/Membership.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/Membership.java
@@ -20,14 +20,15 @@
 import java.util.Optional;
 
 /**
- * Who replicates the log: voters, whose majority decides, and standbys, which only follow.
+ * The replicas of the log: voters, whose majority elects and commits, and standbys, which only
+ * follow.
  *
  * <p>A membership is an entry of the log and is in force at each replica as soon as the entry is
- * appended there. From one membership to the next, the voters differ by one at most, so that each
- * majority of the one meets each majority of the other.
+ * appended there. Consecutive memberships differ by at most one voter, so that any majority of the
+ * one overlaps any majority of the other.
  *
  * @param voters the replicas whose majority elects and commits
- * @param standbys the replicas that hold the log but don't count
+ * @param standbys the replicas that store the log but don't vote
  */
 public record Membership(List<Member> voters, List<Member> standbys) {
     /** Copies the lists. */
@@ -36,7 +37,7 @@
         standbys = List.copyOf(standbys);
     }
 
-    /** Returns the membership of a replica that hasn't been told of any. */
+    /** Returns the membership of a replica that knows no members yet. */
     public static Membership empty() {
         return new Membership(List.of(), List.of());
     }
@@ -51,12 +52,12 @@
         return ofVoters(ids.stream().map(id -> new Member(id, id)).toList());
     }
 
-    /** Returns how many voters make a majority. */
+    /** Returns the number of voters that make a majority. */
     public int quorum() {
         return voters.size() / 2 + 1;
     }
 
-    /** Returns whether the replica votes. */
+    /** Returns whether the replica is a voter. */
     public boolean isVoter(String id) {
         return voters.stream().anyMatch(m -> m.id().equals(id));
     }
@@ -83,21 +84,21 @@
         return voters.stream().map(Member::id).filter(id -> !id.equals(self)).toList();
     }
 
-    /** Returns the membership with one standby more. */
+    /** Returns the membership with a standby added. */
     public Membership withStandby(Member member) {
         List<Member> newStandbys = new ArrayList<>(standbys);
         newStandbys.add(member);
         return new Membership(voters, newStandbys);
     }
 
-    /** Returns the membership in which a standby votes. */
+    /** Returns the membership with a standby made a voter. */
     public Membership withPromoted(Member member) {
         List<Member> newVoters = new ArrayList<>(voters);
         newVoters.add(member);
         return new Membership(newVoters, remove(standbys, member.id()));
     }
 
-    /** Returns the membership in which a voter is a standby. */
+    /** Returns the membership with a voter made a standby. */
     public Membership withDemoted(Member member) {
         List<Member> newStandbys = new ArrayList<>(standbys);
         newStandbys.add(member);
@@ -109,7 +110,7 @@
         return new Membership(remove(voters, id), remove(standbys, id));
     }
 
-    /** Returns by how many voters two memberships differ. */
+    /** Returns the number of voters that are in only one of the two memberships. */
     public int voterDifference(Membership other) {
         long added = voters.stream().filter(m -> !other.isVoter(m.id())).count();
         long removed = other.voters.stream().filter(m -> !isVoter(m.id())).count();
@@ -121,10 +122,10 @@
     }
 
     /**
-     * One replica.
+     * A replica of the log.
      *
-     * @param id names the replica and its disk: a replica that lost its disk has a new id
-     * @param address where other replicas reach it
+     * @param id identifies the replica and its disk; a replica that lost its disk gets a new id
+     * @param address the address at which other replicas reach it
      */
     public record Member(String id, String address) {}
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/control/MembershipPlanner.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/MembershipPlanner.java
@@ -22,24 +22,24 @@
 import java.util.Optional;
 
 /**
- * Decides which change of membership a leader proposes next.
+ * Decides which membership change a leader proposes next.
  *
- * <p>It keeps an odd number of voters: where a voter is silent and a standby has caught up, the
- * standby is promoted first and the silent voter demoted after, so that no change ever lowers the
- * number of replicas that hold an acknowledged entry. A replica that lost its disk comes back under
- * a new id at the same address; its old id is then known to be gone.
+ * <p>Keeps the number of voters odd. If a voter is unresponsive and a standby has caught up, the
+ * standby is promoted before the voter is demoted, so that no change lowers the number of replicas
+ * that hold an acknowledged entry. A replica that lost its disk returns under a new id at the same
+ * address; its old id is then treated as failed.
  */
 public final class MembershipPlanner {
-    /** A voter silent for this long gives its place to a standby that has caught up. */
+    /** A voter unresponsive for this long is replaced by a standby that has caught up. */
     static final long VOTER_TIMEOUT_MILLIS = 2500;
 
-    /** A standby silent for this long is forgotten; it asks to join again when it is back. */
+    /** A standby unresponsive for this long is removed; it asks to join again when it returns. */
     static final long STANDBY_TIMEOUT_MILLIS = 20_000;
 
-    /** A standby answers at least this often if it is to be promoted. */
+    /** A standby is promoted only if it has answered within this time. */
     static final long PROMOTION_CONTACT_MILLIS = 1000;
 
-    /** How many entries a standby may lack to count as caught up. */
+    /** A standby that lacks at most this many entries has caught up. */
     static final long MAX_PROMOTION_LAG_ENTRIES = 16;
 
     private final int mToleratedLosses;
@@ -52,14 +52,14 @@
     /**
      * Returns a planner.
      *
-     * @param toleratedLosses how many disks may be lost at once: {@code 2 * tolerated + 1} replicas
-     *     vote
+     * @param toleratedLosses the number of disks that may be lost at once: {@code 2 *
+     *     toleratedLosses + 1} replicas vote
      */
     public static MembershipPlanner create(int toleratedLosses) {
         return new MembershipPlanner(toleratedLosses);
     }
 
-    /** Notes that a replica asks to take part. */
+    /** Records a replica's request to join. */
     public void onJoinRequest(Membership.Member joiner) {
         mJoinRequests.put(joiner.address(), joiner);
     }
@@ -69,8 +69,8 @@
      *
      * @param leader the leader
      * @param leaderId its id
-     * @param leaderSince when it was elected, in milliseconds of its clock
-     * @param now the present time of its clock
+     * @param leaderSince when it was elected, in milliseconds by its clock
+     * @param now the current time by its clock
      */
     public Optional<Membership> nextMembership(
             Replica leader, String leaderId, long leaderSince, long now) {
@@ -133,7 +133,10 @@
                 .map(m -> view.membership().without(m.id()));
     }
 
-    /** Returns how many replicas shall vote: an odd number, and no more than are alive. */
+    /**
+     * Returns how many replicas should vote: an odd number, at most {@code 2 * mToleratedLosses +
+     * 1}, and no more than are available unless they vote already.
+     */
     private int targetVoterCount(GroupView view) {
         long live = view.membership().all().stream().filter(m -> !view.isFailed(m)).count();
         int largest = Math.max(view.membership().voters().size(), (int) live);
@@ -141,7 +144,7 @@
         return Math.min(2 * mToleratedLosses + 1, odd);
     }
 
-    /** What the leader sees of the group. */
+    /** The leader's view of the group. */
     private record GroupView(
             Membership membership,
             Map<String, FollowerStatus> status,
@@ -165,7 +168,10 @@
                     && follower.matchIndex() + MAX_PROMOTION_LAG_ENTRIES >= lastIndex;
         }
 
-        /** Returns whether another replica has come up at the member's address since. */
+        /**
+         * Returns whether a replica with another id has been in contact from the member's address
+         * more recently.
+         */
         private boolean isReplaced(Membership.Member member) {
             List<Membership.Member> all = membership.all();
             Membership.Member newest = member;
--- a/quilldyke-core/src/main/java/org/quilldyke/control/MinimumVotersWait.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/MinimumVotersWait.java
@@ -16,19 +16,22 @@
 package org.quilldyke.control;
 
 /**
- * Whether a leader takes commands yet: once so many replicas vote that whatever it commits survives
- * the losses that the group must bear.
+ * Decides when a new leader accepts commands: once there are enough voters for committed entries to
+ * survive the losses that the group tolerates.
  *
- * <p>A group that must bear the loss of {@code f} disks needs {@code 2f + 1} voters, but may start
- * with fewer. What a majority of those commits may be held by lost disks only, and with more than a
- * minority of them lost no leader comes again. A membership is in force from its entry on, so all
- * that follows the entry of a large enough one is committed by a majority of that one, and never by
- * a smaller.
+ * <p>A group that tolerates the loss of {@code f} disks needs {@code 2f + 1} voters, but may start
+ * with fewer. Entries committed by a majority of fewer voters may be lost with {@code f} disks, and
+ * if more than a minority of the voters is lost, no leader can be elected again. A membership is in
+ * force from its entry on, so all entries after that of a large enough membership are committed by
+ * a majority of it, never by one of a smaller membership.
  *
- * <p>A machine that doesn't come is itself one of the losses to be borne, so the wait has an end.
+ * <p>A machine that never starts is itself one of the tolerated losses, so the wait is limited.
  */
 final class MinimumVotersWait {
-    /** A machine counts as lost for up to so long after its start, in milliseconds (sheets). */
+    /**
+     * A machine may count as lost for up to this long after its start, according to the data
+     * sheets.
+     */
     static final long MAX_WAIT_MILLIS = 6000;
 
     private final int mMinVoters;
@@ -40,12 +43,12 @@
         mElectedAt = electedAt;
     }
 
-    /** Notes the present time. */
+    /** Updates the elapsed time. */
     void update(long now) {
         mTimedOut = now - mElectedAt >= MAX_WAIT_MILLIS;
     }
 
-    /** Returns whether commands may follow an entry with the given membership in force. */
+    /** Returns whether commands may be appended while the given membership is in force. */
     boolean isOver(Membership membership) {
         return membership.voters().size() >= mMinVoters || mTimedOut;
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/control/PeerMessage.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/PeerMessage.java
@@ -17,18 +17,20 @@
 
 import java.util.List;
 
-/** What replicas of the control state say to each other. Times are the sender's own clock. */
+/**
+ * A message between replicas of the control state. Times are milliseconds of the leader's clock.
+ */
 public sealed interface PeerMessage {
 
     /**
-     * Asks for a vote.
+     * Requests a vote or a pre-vote.
      *
-     * @param term the term to be elected for
-     * @param lastIndex the end of the candidate's log
-     * @param lastTerm its term
-     * @param preVote whether only to tell if a vote would be given, which changes nothing
-     * @param leadershipTransfer whether the leader itself has asked for this election, so that a
-     *     vote may be given although the leader was heard just now
+     * @param term the term of the election
+     * @param lastIndex index of the last entry in the candidate's log
+     * @param lastTerm that entry's term
+     * @param preVote whether this only asks if the vote would be granted, which changes no state
+     * @param leadershipTransfer whether the leader itself asked for this election, so that the vote
+     *     may be granted although the leader was active just before
      */
     record VoteRequest(
             long term, long lastIndex, long lastTerm, boolean preVote, boolean leadershipTransfer)
@@ -38,15 +40,15 @@
     record VoteReply(long term, boolean granted, boolean preVote) implements PeerMessage {}
 
     /**
-     * Carries entries, or none as a heartbeat.
+     * Sends entries to a follower, or none as a heartbeat.
      *
      * @param term the leader's term
-     * @param previousIndex the entry before the first one carried
-     * @param previousTerm its term
+     * @param previousIndex index of the entry before the first one sent
+     * @param previousTerm that entry's term
      * @param entries the entries, in order
-     * @param commitIndex what the leader knows to be committed
-     * @param lastIndex the end of the leader's log
-     * @param sentAt the leader's clock, sent back in the reply
+     * @param commitIndex index of the last entry that the leader knows to be committed
+     * @param lastIndex index of the last entry in the leader's log
+     * @param sentAt when the message was sent; returned in the reply
      */
     record AppendRequest(
             long term,
@@ -59,28 +61,30 @@
             implements PeerMessage {}
 
     /**
-     * Answers an {@link AppendRequest} or the last piece of a snapshot.
+     * Answers an {@link AppendRequest} or the last chunk of a snapshot.
      *
      * @param term the follower's term
      * @param matched whether the logs agree up to {@code index}
-     * @param index the last entry that is synced and agrees, or from where to try if not matched
-     * @param learner whether the follower has lost its disk and doesn't count yet
-     * @param sentAt from the request
+     * @param index the last entry that is synced and matches; if not matched, the index from which
+     *     to retry
+     * @param learner whether the follower has lost its disk and doesn't count towards majorities
+     *     yet
+     * @param sentAt copied from the request
      */
     record AppendReply(long term, boolean matched, long index, boolean learner, long sentAt)
             implements PeerMessage {}
 
     /**
-     * Carries a piece of a snapshot to a follower whose next entry is compacted away.
+     * Sends a chunk of a snapshot to a follower whose next entry the log no longer holds.
      *
      * @param term the leader's term
      * @param index the last entry that the snapshot covers
-     * @param indexTerm its term
-     * @param offset where the piece starts
+     * @param indexTerm that entry's term
+     * @param offset the chunk's offset in the snapshot
      * @param totalBytes the snapshot's size in bytes
-     * @param membership who replicates the log as of the snapshot
+     * @param membership the membership as of the snapshot
      * @param chunk the bytes
-     * @param sentAt the leader's clock, sent back in the reply
+     * @param sentAt when the message was sent; returned in the reply
      */
     record SnapshotRequest(
             long term,
@@ -93,16 +97,19 @@
             long sentAt)
             implements PeerMessage {}
 
-    /** Answers a piece: the follower holds the snapshot's bytes up to {@code nextOffset}. */
+    /** Acknowledges a chunk: the follower holds the snapshot's bytes up to {@code nextOffset}. */
     record SnapshotReply(long term, long index, int nextOffset, long sentAt)
             implements PeerMessage {}
 
-    /** Asks, after the loss of a disk or at the first start, what others remember. */
+    /**
+     * Asks another voter for its term and the end of its log, after the loss of a disk or at the
+     * first start.
+     */
     record StateRequest() implements PeerMessage {}
 
     /** Answers a {@link StateRequest}. */
     record StateReply(long term, long lastIndex) implements PeerMessage {}
 
-    /** Asks the most complete follower of a leader that shuts down to be elected at once. */
+    /** Asks the most up-to-date voter to start an election at once, since the leader steps down. */
     record ElectNow(long term) implements PeerMessage {}
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/control/PeerStates.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/PeerStates.java
@@ -19,7 +19,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** What a replica that doesn't trust its disk has heard of the others' logs. */
+/**
+ * The replies of the other voters to a replica that isn't trusted, after the loss of its disk or at
+ * its first start.
+ */
 final class PeerStates {
     private final String mSelf;
     private final ReplicatedLog mLog;
@@ -30,12 +33,12 @@
         mLog = log;
     }
 
-    /** Returns whom to ask. */
+    /** Returns the voters to ask. */
     List<String> otherVoters() {
         return mLog.membership().otherVoters(mSelf);
     }
 
-    /** Returns whether too few have answered for a leader's entries to be taken. */
+    /** Returns whether too few voters have answered for a leader's entries to be accepted. */
     boolean isIncomplete(Ballot ballot) {
         return !ballot.trusted()
                 && mReplies.size() < mLog.membership().quorum()
@@ -43,7 +46,7 @@
                 && ballot.term() == 0;
     }
 
-    /** Takes an answer and returns the ballot that follows from all of them. */
+    /** Records a reply and returns the ballot that results from all replies. */
     Ballot onReply(String from, PeerMessage.StateReply reply, Ballot ballot) {
         mReplies.put(from, reply);
         long newestTerm =
@@ -52,7 +55,7 @@
                 mReplies.size() == otherVoters().size()
                         && mReplies.values().stream().allMatch(r -> r.lastIndex() == 0);
         if (allEmpty && mLog.lastIndex() == 0) {
-            // Nobody holds an entry, so nothing was ever committed: a first start.
+            // No voter holds an entry, so nothing was ever committed: this is the first start.
             return new Ballot(newestTerm + 1, "", true);
         }
         boolean hasQuorum = mReplies.size() >= mLog.membership().quorum();
--- a/quilldyke-core/src/main/java/org/quilldyke/control/Plan.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/Plan.java
@@ -20,18 +20,20 @@
 import java.util.TreeMap;
 
 /**
- * What the system will do for an intent, and how far it has come.
+ * The steps that carry out an intent, and their progress.
  *
- * @param number the operator's number, under which one intent wins
- * @param intentId tells a resend of the same intent from another intent under the same number
- * @param operator who stated it
- * @param intent what is wanted
- * @param steps what will be done, for people
+ * @param number the operator's number for the plan; only the first intent under a number is
+ *     accepted
+ * @param intentId distinguishes a resend of the same intent from another intent under the same
+ *     number
+ * @param operator the operator who submitted the intent
+ * @param intent the requested change
+ * @param steps the steps, for people
  * @param capacityNote the effect on capacity, for people
  * @param reads the version of each object that the plan was made from, by {@code KIND/name}
- * @param state how far it has come
+ * @param state the plan's progress
  * @param orders the orders to targets, by target id; empty for plans without any
- * @param note why it failed, or empty
+ * @param note why the plan failed, or empty
  */
 public record Plan(
         String number,
@@ -45,15 +47,15 @@
         SortedMap<String, Order> orders,
         String note) {
 
-    /** How far a plan has come. */
+    /** The progress of a plan. */
     public enum State {
-        /** Waits to be confirmed. */
+        /** Waits for a confirmation. */
         PROPOSED,
-        /** Confirmed; orders to targets are under way. */
+        /** Confirmed; orders to targets are in progress. */
         RUNNING,
-        /** All is done and in force. */
+        /** Completed; the change is in force. */
         DONE,
-        /** Stopped; the note says why. */
+        /** Failed; the note gives the reason. */
         FAILED
     }
 
@@ -62,6 +64,7 @@
      *
      * @param target the target
      * @param fencing the log index at which the order was recorded; larger than that of any earlier
+     *     order
      * @param weights the weight version to load
      * @param recordedAt when it was recorded, in milliseconds since the epoch
      * @param done whether the target has reported the result
@@ -88,7 +91,7 @@
                 number, intentId, operator, intent, steps, capacityNote, reads, state, copy, note);
     }
 
-    /** Returns how many orders wait for their target's report. */
+    /** Returns the number of orders whose target hasn't reported the result. */
     public int openOrders() {
         int open = 0;
         for (Order order : orders.values()) {
--- a/quilldyke-core/src/main/java/org/quilldyke/control/Replica.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/Replica.java
@@ -22,17 +22,16 @@
 import org.quilldyke.QuilldykeException;
 
 /**
- * One replica of the control state's log: Raft with pre-vote, a leader's lease and pipelining.
+ * A replica of the control state's log: Raft with pre-vote, leader leases and pipelining.
  *
  * <p>After Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014), and
- * sections 4.2.3, 6.4.1 and 9.6 of Ongaro's thesis. Beyond it, a replica that finds its disk empty
- * neither votes nor counts until it is trusted again: it first learns the newest term from a
- * majority of the others, so that a vote it has forgotten can't be given twice, and then takes over
- * a leader's whole log of that term or a later one. Only if all others are empty too does it start
- * afresh.
+ * sections 4.2.3, 6.4.1 and 9.6 of Ongaro's thesis. Also, a replica whose disk is empty neither
+ * votes nor counts towards majorities until it is trusted again. It learns the newest term from a
+ * majority of the others, so that a vote lost with the disk isn't given twice, then copies the
+ * whole log of a leader of that or a later term. It starts empty only if all others are empty.
  *
- * <p>A state machine without input or output: each call returns what to do, see {@link
- * ReplicaAction}. Not safe for use by several threads.
+ * <p>Does no input or output: each call returns the actions to perform, see {@link ReplicaAction}.
+ * Not thread-safe.
  */
 public final class Replica {
     private static final long NO_PENDING_ACK = Long.MIN_VALUE;
@@ -65,18 +64,18 @@
         mLog = mStored.log();
         mPeerStates = new PeerStates(settings.self(), mLog);
         mEligibility = new ElectionEligibility(settings.self(), mStored);
-        // A lease that this replica granted before its restart may still be running.
+        // A lease that this replica granted before its restart may still be valid.
         mLeaderSeenAt = startedAt + settings.startUpVoteDelayMillis() - settings.electionMillis();
     }
 
     /**
-     * Returns a replica in the state that its disk holds.
+     * Returns a replica in the state loaded from its disk.
      *
-     * @param settings who takes part and how patient they are
-     * @param disk what was found on the disk
-     * @param random draws the election times
-     * @param startedAt when its process had begun, of its monotonic clock, in milliseconds
-     * @param now the present time of the same clock
+     * @param settings the replica's id, timeouts and message sizes
+     * @param disk the state loaded from the disk
+     * @param random source of the random election timeouts
+     * @param startedAt when its process started, by its monotonic clock, in milliseconds
+     * @param now the current time by the same clock
      */
     public static Replica restore(
             ReplicaSettings settings,
@@ -99,9 +98,9 @@
     }
 
     /**
-     * Takes a message from another replica.
+     * Handles a message from another replica.
      *
-     * @throws QuilldykeException if an invariant breaks; the message is then without effect
+     * @throws QuilldykeException if an invariant is violated; the message then has no effect
      */
     public List<ReplicaAction> receive(String from, PeerMessage message, long now)
             throws QuilldykeException {
@@ -143,9 +142,9 @@
     /**
      * Appends a change of membership to the log.
      *
-     * @param next differs from the present membership by one voter at most
+     * @param next differs from the current membership by at most one voter
      * @return the entry's index, or -1 if this replica may not change the membership now: it
-     *     doesn't lead, or hasn't committed an entry of its term yet, or the last change isn't
+     *     doesn't lead, hasn't committed an entry of its term yet, or the last change isn't
      *     committed
      * @throws QuilldykeException if the voters differ by more than one
      */
@@ -155,13 +154,13 @@
         }
         Invariant.check(
                 next.voterDifference(mLog.membership()) <= 1 && next.isVoter(mSettings.self()),
-                "one voter at a time changes, and the leader stays");
+                "at most one voter changes at a time, and the leader stays a voter");
         mStored.append(LogEntry.ofMembership(mBallot.term(), next));
         mFollowers.onMembershipChange();
         return mLog.lastIndex();
     }
 
-    /** Sends what was proposed. */
+    /** Sends the proposed entries to the followers. */
     public List<ReplicaAction> flush(long now) {
         if (mRole == Role.LEADER) {
             mActions.addAll(mFollowers.sendEntries(mStored.snapshot(), mStored.commitIndex(), now));
@@ -170,11 +169,11 @@
     }
 
     /**
-     * Tells that what was wanted stored is synced.
+     * Reports that the entries to be stored are synced to disk.
      *
-     * @param index the end of the log when the sync was begun
-     * @param epoch {@link #truncationEpoch} when the sync was begun; entries that were removed
-     *     since make the news void
+     * @param index the last index of the log when the sync started
+     * @param epoch {@link #truncationEpoch} when the sync started; if entries were removed since,
+     *     the report is ignored
      */
     public List<ReplicaAction> onSynced(long index, long epoch) throws QuilldykeException {
         if (!mStored.onSynced(index, epoch)) {
@@ -189,7 +188,7 @@
         return drainActions();
     }
 
-    /** Tells that a ballot is stored; until the newest is, no election is begun or given up. */
+    /** Reports a stored ballot. No election starts or is abandoned until the newest is stored. */
     public void onBallotStored(Ballot ballot, long now) {
         if (mBallotPending && ballot.equals(mBallot)) {
             mBallotPending = false;
@@ -197,15 +196,15 @@
         }
     }
 
-    /** Returns a number that changes whenever stored entries are wanted removed. */
+    /** Returns a number that changes whenever stored entries are to be removed. */
     public long truncationEpoch() {
         return mStored.truncationEpoch();
     }
 
     /**
-     * Leads no longer and asks the most complete other voter to be elected at once.
+     * Steps down and asks the most up-to-date other voter to start an election at once.
      *
-     * <p>A leader that shuts down calls this; the group then goes on without waiting for a timeout.
+     * <p>Called when a leader shuts down, so that the group doesn't wait for an election timeout.
      */
     public List<ReplicaAction> transferLeadership(long now) {
         if (mRole == Role.LEADER) {
@@ -214,7 +213,7 @@
         return drainActions();
     }
 
-    /** Replaces the applied entries by a snapshot of the state; the caller stores the outcome. */
+    /** Replaces the applied entries by a snapshot of the state; the caller stores the result. */
     public Compaction compact(byte[] snapshot) {
         return mStored.compact(snapshot);
     }
@@ -224,16 +223,16 @@
         return mRole == Role.LEADER;
     }
 
-    /** Returns whether this replica leads and was heard so recently that no other can. */
+    /** Returns whether this replica leads and recent contact with a quorum excludes any other. */
     public boolean holdsLease(long now) {
         return mRole == Role.LEADER
                 && now < mFollowers.quorumContactAt(now) + mSettings.leaseMillis();
     }
 
     /**
-     * Returns the time, of this replica's clock, up to which surely no other replica led: what it
-     * has applied includes all that was committed before then. {@link Long#MIN_VALUE} if it doesn't
-     * lead or hasn't committed an entry of its term yet.
+     * Returns the time, by this replica's clock, up to which no other replica can have led: the
+     * entries it has applied include all that were committed before then. {@link Long#MIN_VALUE} if
+     * it doesn't lead or hasn't committed an entry of its term yet.
      */
     public long confirmedAt(long now) {
         if (mRole != Role.LEADER || !hasCommittedInTerm()) {
@@ -242,12 +241,12 @@
         return mFollowers.quorumContactAt(now);
     }
 
-    /** Returns who replicates the log as of its last entry. */
+    /** Returns the membership as of the last entry in the log. */
     public Membership membership() {
         return mLog.membership();
     }
 
-    /** Returns whether {@link #proposeMembership} would be taken. */
+    /** Returns whether {@link #proposeMembership} would be accepted. */
     public boolean mayChangeMembership() {
         return mRole == Role.LEADER
                 && mEligibility.isVoter()
@@ -255,17 +254,17 @@
                 && mLog.membershipIndex() <= mStored.commitIndex();
     }
 
-    /** Returns what this leader knows of the other members; empty if it doesn't lead. */
+    /** Returns the status of the other members; empty if it doesn't lead. */
     public List<FollowerStatus> followers() {
         return mRole == Role.LEADER ? mFollowers.status() : List.of();
     }
 
-    /** Returns the leader's id as far as known, empty for none. */
+    /** Returns the leader's id, empty if unknown. */
     public String leader() {
         return mLeader;
     }
 
-    /** Returns when the leader was last heard; for a leader, when a quorum last heard it. */
+    /** Returns the time of the leader's last message; for a leader, of its last quorum contact. */
     public long leaderSeenAt(long now) {
         return mRole == Role.LEADER
                 ? Math.max(mFollowers.quorumContactAt(now), mLeaderSeenAt)
@@ -273,15 +272,16 @@
     }
 
     /**
-     * Returns whether this replica has applied all that was committed when it last heard its
-     * leader, which knows that only once an entry of its own term is; false till then.
+     * Returns whether this replica has applied all entries committed as of its leader's last
+     * message, which the leader knows only once it has committed an entry of its term; false until
+     * then.
      */
     public boolean isCurrent() {
         return mStored.appliedIndex() >= mLeaderCommitIndex
                 && mLog.termAt(mLeaderCommitIndex) == mBallot.term();
     }
 
-    /** Returns the present term. */
+    /** Returns the current term. */
     public long term() {
         return mBallot.term();
     }
@@ -296,7 +296,7 @@
         return mLog.lastIndex();
     }
 
-    /** Returns the index of the last entry given out to be applied. */
+    /** Returns the index of the last entry returned to be applied. */
     public long appliedIndex() {
         return mStored.appliedIndex();
     }
@@ -311,7 +311,7 @@
         return mLog.termAt(index);
     }
 
-    /** Returns whether the replica's log may be relied on, see {@link Ballot#trusted}. */
+    /** Returns {@link Ballot#trusted}: whether the replica votes and counts in majorities. */
     public boolean isTrusted() {
         return mBallot.trusted();
     }
@@ -432,7 +432,7 @@
         mTimer.restartOnLeaderContact(now);
         mFollowers = Followers.of(mSettings, mLog, mBallot.term(), now);
         mActions.add(new ReplicaAction.LeadershipWon(mBallot.term()));
-        // All that was ever committed is committed again, at the latest, with the opening entry.
+        // Committing the no-op entry covers all entries that were committed in earlier terms.
         mLeaderCommitIndex = mLog.lastIndex() + 1;
         mStored.append(LogEntry.noOp(mBallot.term()));
         mActions.addAll(mFollowers.sendEntries(mStored.snapshot(), mStored.commitIndex(), now));
@@ -447,7 +447,7 @@
         follow(from, m.term(), now);
         mLeaderCommitIndex = m.commitIndex();
         if (m.previousIndex() < mLog.baseIndex()) {
-            // The snapshot covers the start of this message, so the logs agree up to there.
+            // The snapshot covers the start of this message, so the logs agree up to its end.
             reply(from, true, Math.min(mLog.baseIndex(), mStored.syncedIndex()), m.sentAt());
             return;
         }
@@ -466,7 +466,7 @@
     }
 
     /**
-     * Acknowledges what is synced, now, and the rest when it is; a slow disk delays no heartbeat.
+     * Acknowledges synced entries now and others once synced, so a slow disk delays no heartbeat.
      */
     private void acknowledge(String leader, long matchedIndex, long sentAt) {
         mMatchedIndex = Math.max(mMatchedIndex, matchedIndex);
@@ -487,7 +487,7 @@
         }
         Invariant.check(
                 !m.matched() || m.index() <= mLog.lastIndex(),
-                "a follower holds no more than its leader");
+                "a follower acknowledges only entries that its leader holds");
         mFollowers.onAppendReply(from, m);
         advanceCommit();
         mActions.addAll(mFollowers.sendEntries(mStored.snapshot(), mStored.commitIndex(), now));
--- a/quilldyke-core/src/main/java/org/quilldyke/control/ReplicaAction.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/ReplicaAction.java
@@ -18,10 +18,11 @@
 import java.util.List;
 
 /**
- * What a {@link Replica} wants done, in order.
+ * An action requested by a {@link Replica}. Actions are performed in order.
  *
- * <p>The shell writes and syncs all that is to be stored before it sends any {@link Send} whose
- * message {@link Send#needsSync() needs it}, and then calls {@link Replica#onSynced}.
+ * <p>The caller stores ballots, entries and snapshots on disk. It delays a message that {@linkplain
+ * Send#needsStoredBallot needs a stored ballot} until the ballots before it are on disk, and
+ * reports finished writes to {@link Replica#onBallotStored} and {@link Replica#onSynced}.
  */
 public sealed interface ReplicaAction {
 
@@ -34,13 +35,16 @@
     /** Append entries to the stored log, the first of them at {@code firstIndex}. */
     record AppendLog(long firstIndex, List<LogEntry> entries) implements ReplicaAction {}
 
-    /** Store a received snapshot, drop the whole stored log, and load the state from it. */
+    /**
+     * Store a received snapshot, discard the whole stored log, and load the state from the
+     * snapshot.
+     */
     record InstallSnapshot(long index, long term, Membership membership, byte[] snapshot)
             implements ReplicaAction {}
 
     /** Send a message to another replica; it may be lost. */
     record Send(String to, PeerMessage message) implements ReplicaAction {
-        /** Returns whether the ballot must be on disk before the message may leave. */
+        /** Returns whether the ballot must be on disk before the message is sent. */
         public boolean needsStoredBallot() {
             if (message instanceof PeerMessage.VoteRequest m) {
                 return !m.preVote();
@@ -55,9 +59,9 @@
     /** Apply a committed entry to the state. */
     record Apply(long index, LogEntry entry) implements ReplicaAction {}
 
-    /** This replica leads from now on; earlier orders of others may still be on their way. */
+    /** This replica leads from now on; orders of earlier leaders may still arrive. */
     record LeadershipWon(long term) implements ReplicaAction {}
 
-    /** This replica leads no longer; proposals that aren't applied yet have an unknown fate. */
+    /** This replica leads no longer; proposals that aren't applied yet have an unknown outcome. */
     record LeadershipLost(long term) implements ReplicaAction {}
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/control/ReplicaSettings.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/ReplicaSettings.java
@@ -19,18 +19,19 @@
 import java.util.List;
 
 /**
- * Who takes part and how patient a replica is.
+ * A replica's id, first members, timeouts and message sizes.
  *
  * @param self this replica's id
- * @param initialMembership the membership before the log's first change of it; empty for a replica
- *     that joins
- * @param heartbeatMillis how often a leader speaks to its followers
- * @param electionMillis how long a follower waits for its leader at least; twice that at most
- * @param leaseMillis how long a leader may act on what a quorum has heard; shorter than {@code
- *     electionMillis} by more than clocks drift in that time
- * @param batchBytes how many bytes of entries a message carries at most
- * @param snapshotChunkBytes how many bytes of a snapshot a message carries at most
- * @param minVoters how many voters there must be before a leader takes commands
+ * @param initialMembership the membership before the first change in the log; empty for a replica
+ *     that joins later
+ * @param heartbeatMillis interval of a leader's messages to each follower
+ * @param electionMillis minimum time that a follower waits for its leader; the maximum is twice
+ *     that
+ * @param leaseMillis how long a leader may rely on the last contact with a quorum; shorter than
+ *     {@code electionMillis} by more than clocks drift in that time
+ * @param batchBytes maximum size of the entries in a message, in bytes
+ * @param snapshotChunkBytes maximum size of a snapshot chunk, in bytes
+ * @param minVoters number of voters required before a leader accepts commands
  */
 public record ReplicaSettings(
         String self,
@@ -43,17 +44,20 @@
         int minVoters) {
     private static final int BATCH_BYTES = 256 << 10;
 
-    /** Clocks of two machines drift by less than one part in this; real ones by some 20,000th. */
+    /**
+     * Clocks of two machines drift apart by less than one part in this; real clocks drift by about
+     * one part in 20,000.
+     */
     private static final int CLOCK_DRIFT_DIVISOR = 20;
 
-    /** Returns settings with the usual times, fit for delays of a few milliseconds. */
+    /** Returns settings with default times, for network delays of a few milliseconds. */
     public static ReplicaSettings of(String self, List<String> others) {
         List<String> all = new ArrayList<>(others);
         all.add(self);
         return of(self, Membership.ofIds(all));
     }
 
-    /** Returns settings with the usual times. */
+    /** Returns settings with default times. */
     public static ReplicaSettings of(String self, Membership initialMembership) {
         return new ReplicaSettings(
                 self, initialMembership, 50, 300, 250, BATCH_BYTES, BATCH_BYTES, 1);
@@ -61,10 +65,11 @@
 
     /**
      * Returns for how long after its start a replica grants no vote, since it may have granted a
-     * lease just before its end. Counted from the start of the process: a control process of three
-     * quarters of a core takes 0.4 s from there to its first vote, so that after a loss of all a
-     * leader is elected as soon as its peers meet; counted a whole election timeout from its first
-     * vote it came 0.41 s after (three starts of four replicas).
+     * lease just before it stopped. The time counts from the start of the process: a control
+     * process on three quarters of a core takes 0.4 s from there until it can vote, so that after a
+     * failure of all processes a leader is elected as soon as the replicas are connected. A whole
+     * election timeout, counted from when it can vote, delayed the leader until 0.41 s after that
+     * (three starts of four replicas).
      */
     public long startUpVoteDelayMillis() {
         return leaseMillis + leaseMillis / CLOCK_DRIFT_DIVISOR;
@@ -83,7 +88,7 @@
                 minVoters);
     }
 
-    /** Returns settings with other sizes of messages. */
+    /** Returns settings with other message sizes. */
     public ReplicaSettings withMessageSizes(int batch, int snapshotChunk) {
         return new ReplicaSettings(
                 self,
@@ -96,7 +101,7 @@
                 minVoters);
     }
 
-    /** Returns settings of a group that must bear the loss of so many disks at once. */
+    /** Returns settings of a group that tolerates the loss of the given number of disks at once. */
     public ReplicaSettings withToleratedLosses(int toleratedLosses) {
         return new ReplicaSettings(
                 self,
--- a/quilldyke-core/src/main/java/org/quilldyke/control/ReplicatedLog.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/ReplicatedLog.java
@@ -48,23 +48,23 @@
         return mBaseTerm;
     }
 
-    /** Returns who replicates the log as of the snapshot at its base. */
+    /** Returns the membership as of the snapshot at the log's base. */
     Membership baseMembership() {
         return mBaseMembership;
     }
 
-    /** Returns who replicates the log as of its last entry. */
+    /** Returns the membership as of the last entry. */
     Membership membership() {
         return mMemberships.isEmpty() ? mBaseMembership : mMemberships.lastEntry().getValue();
     }
 
-    /** Returns who replicates the log as of the entry at {@code index}. */
+    /** Returns the membership as of the entry at {@code index}. */
     Membership membershipAt(long index) {
         Map.Entry<Long, Membership> change = mMemberships.floorEntry(index);
         return change == null ? mBaseMembership : change.getValue();
     }
 
-    /** Returns the index of the last change of membership, the base if there is none after it. */
+    /** Returns the index of the last membership change, or the base index if none follows it. */
     long membershipIndex() {
         return mMemberships.isEmpty() ? mBaseIndex : mMemberships.lastKey();
     }
@@ -77,7 +77,7 @@
         return termAt(lastIndex());
     }
 
-    /** Returns the term of the entry at {@code index}, -1 if the log doesn't reach or hold it. */
+    /** Returns the term of the entry at {@code index}, -1 if the log doesn't hold it. */
     long termAt(long index) {
         if (index == mBaseIndex) {
             return mBaseTerm;
@@ -105,7 +105,7 @@
         mMemberships.tailMap(index, true).clear();
     }
 
-    /** Drops the entries up to {@code index}, which a snapshot now covers. */
+    /** Discards the entries up to {@code index}, which a snapshot now covers. */
     void compactTo(long index) {
         long term = termAt(index);
         mBaseMembership = membershipAt(index);
@@ -115,7 +115,7 @@
         mBaseTerm = term;
     }
 
-    /** Drops all entries and starts again after a snapshot. */
+    /** Discards all entries and continues after a snapshot. */
     void resetTo(long index, long term, Membership membership) {
         mEntries.clear();
         mMemberships.clear();
@@ -124,7 +124,10 @@
         mBaseTerm = term;
     }
 
-    /** Returns entries from {@code index} on, at least one if there is one, up to {@code bytes}. */
+    /**
+     * Returns the entries from {@code index} on, up to a size of {@code bytes}, but at least one if
+     * there is any.
+     */
     List<LogEntry> entriesFrom(long index, int bytes) {
         List<LogEntry> batch = new ArrayList<>();
         int size = 0;
@@ -139,7 +142,7 @@
         return batch;
     }
 
-    /** Returns whether a log that ends in the given entry is at least as complete as this one. */
+    /** Returns whether a log that ends in the given entry is at least as up-to-date as this one. */
     boolean isNotNewerThan(long otherLastIndex, long otherLastTerm) {
         if (otherLastTerm != lastTerm()) {
             return otherLastTerm > lastTerm();
--- a/quilldyke-core/src/main/java/org/quilldyke/control/Role.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/Role.java
@@ -15,7 +15,7 @@
  */
 package org.quilldyke.control;
 
-/** What a replica is to the group. */
+/** The role of a replica in its group. */
 enum Role {
     FOLLOWER,
     PRE_CANDIDATE,
--- a/quilldyke-core/src/main/java/org/quilldyke/control/RollOutPlanner.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/RollOutPlanner.java
@@ -22,28 +22,28 @@
 import org.quilldyke.engine.TargetRecord;
 
 /**
- * The next steps of a plan that rolls out a weight version.
+ * Decides the next commands of a plan that rolls out a weight version.
  *
- * <p>Decides from the plan and the live targets alone, so a new leader goes on where the old one
- * stopped. At most {@link #MAX_CONCURRENT_LOADS} engines load at once, since loading slows down
- * beyond, and an order whose target has vanished keeps its place until it returns or {@link
- * #isStuck} ends the plan.
+ * <p>The result depends only on the plan and the live targets, so that a new leader continues where
+ * the previous one stopped. At most {@link #MAX_CONCURRENT_LOADS} engines load at once, since
+ * loading slows down beyond that. An order whose target has disappeared counts towards this limit
+ * until the target returns or the order times out, which fails the plan.
  */
 public final class RollOutPlanner {
     /** Engines that may load weights at the same time. */
     public static final int MAX_CONCURRENT_LOADS = 2;
 
-    /** An order that isn't reported done by then fails the plan. */
+    /** An order that isn't reported done within this time fails the plan. */
     public static final long ORDER_TIMEOUT_MILLIS = 600_000;
 
     private RollOutPlanner() {}
 
     /**
-     * Returns what to propose next, none while orders are under way.
+     * Returns the commands to propose next; none while the plan only waits for open orders.
      *
      * @param plan a running plan
      * @param liveTargets the live targets of the cell
-     * @param now the present time, in milliseconds since the epoch
+     * @param now the current time, in milliseconds since the epoch
      */
     public static List<Command> nextCommands(
             Plan plan, Iterable<TargetRecord> liveTargets, long now) {
--- a/quilldyke-core/src/main/java/org/quilldyke/control/StoredLog.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/StoredLog.java
@@ -20,7 +20,10 @@
 import org.quilldyke.Invariant;
 import org.quilldyke.QuilldykeException;
 
-/** The log with what is synced, committed and applied of it; says what to store and apply. */
+/**
+ * The log and its synced, committed and applied indexes; requests the actions that store and apply
+ * its entries.
+ */
 final class StoredLog {
     private final ReplicatedLog mLog;
     private final Consumer<ReplicaAction> mActions;
@@ -39,7 +42,7 @@
         mSyncedIndex = log.lastIndex();
     }
 
-    /** Returns the log that a disk holds. */
+    /** Returns the log loaded from a disk. */
     static StoredLog restore(
             ReplicaSettings settings, DurableState disk, Consumer<ReplicaAction> actions) {
         Membership base =
@@ -71,12 +74,15 @@
         return mSyncedIndex;
     }
 
-    /** Returns a number that changes whenever stored entries are wanted removed. */
+    /** Returns a number that changes whenever stored entries are to be removed. */
     long truncationEpoch() {
         return mTruncationEpoch;
     }
 
-    /** Notes a sync that began at the given end of the log; returns whether it still counts. */
+    /**
+     * Records that the log is synced up to {@code index}. Returns false and records nothing if
+     * entries were removed since the sync started.
+     */
     boolean onSynced(long index, long epoch) {
         if (epoch != mTruncationEpoch) {
             return false;
@@ -85,14 +91,14 @@
         return true;
     }
 
-    /** Appends an entry of this replica's own. */
+    /** Appends an entry that this replica created as the leader. */
     void append(LogEntry entry) {
         mLog.append(entry);
         mActions.accept(new ReplicaAction.AppendLog(mLog.lastIndex(), List.of(entry)));
     }
 
     /**
-     * Takes a leader's entries: skips those held and replaces those that differ.
+     * Appends a leader's entries: skips those already held and replaces those that differ.
      *
      * @return the first index that was replaced, or {@link Long#MAX_VALUE} if none was
      */
@@ -134,7 +140,7 @@
                         m.index(), m.indexTerm(), m.membership(), snapshot));
     }
 
-    /** Notes that the entries up to {@code index} are committed, and gives them out. */
+    /** Marks the entries up to {@code index} as committed and requests their application. */
     void commitTo(long index) throws QuilldykeException {
         Invariant.check(index <= mLog.lastIndex(), "only held entries are committed");
         mCommitIndex = Math.max(mCommitIndex, index);
--- a/quilldyke-core/src/main/java/org/quilldyke/control/VoteCount.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/VoteCount.java
@@ -19,7 +19,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** The votes that a candidate has been given in the election that is open, if one is. */
+/** The votes granted to this replica in its current election or pre-vote, if there is one. */
 final class VoteCount {
     private final Set<String> mGrantedBy = new HashSet<>();
     private String mSelf = "";
@@ -27,7 +27,7 @@
     private boolean mPreVote;
     private long mTerm;
 
-    /** Opens an election, with the candidate's own vote. */
+    /** Starts counting, with the candidate's own vote. */
     void start(String self, long term, boolean preVote) {
         mGrantedBy.clear();
         mGrantedBy.add(self);
@@ -38,9 +38,9 @@
     }
 
     /**
-     * Returns the requests to all other voters for the election that is open.
+     * Returns the vote requests to all other voters for the current election.
      *
-     * @param log the candidate's
+     * @param log the candidate's log
      * @param leadershipTransfer whether the leader itself asked for the election
      */
     List<ReplicaAction> voteRequests(ReplicatedLog log, boolean leadershipTransfer) {
@@ -53,10 +53,10 @@
     }
 
     /**
-     * Returns whether another replica may be elected rather than this one, which then counts no
-     * more votes itself. Of two that ask at the same time, with logs alike, the one with the lower
-     * id goes first: three that all began an election voted each for itself, and a leader came 0.3
-     * to 0.7 s later (seen at both losses of power that were looked at).
+     * Returns whether to grant the pre-vote of another replica, in which case this one abandons its
+     * own. Of two replicas with equal logs that ask at the same time, the one with the lower id has
+     * priority: otherwise three replicas each started an election and voted for themselves, which
+     * delayed the leader by 0.3 to 0.7 s after both power losses that were examined.
      */
     boolean yieldPreVoteTo(String from, PeerMessage.VoteRequest m, ReplicatedLog log) {
         boolean sameLog = m.lastIndex() == log.lastIndex() && m.lastTerm() == log.lastTerm();
@@ -68,12 +68,14 @@
         return true;
     }
 
-    /** Counts no more votes. */
+    /** Stops counting. */
     void stop() {
         mActive = false;
     }
 
-    /** Counts a vote, if it is for this election; returns whether it is won now. */
+    /**
+     * Counts a vote if it is for the current election; returns whether the election is won with it.
+     */
     boolean addVote(String from, PeerMessage.VoteReply m, Membership membership) {
         if (!mActive || m.preVote() != mPreVote || m.term() != mTerm || !membership.isVoter(from)) {
             return false;
@@ -82,7 +84,10 @@
         return isWon(membership);
     }
 
-    /** Returns whether a majority has voted for the candidate, whose own vote may not count. */
+    /**
+     * Returns whether a majority of the voters has voted for the candidate, whose own vote counts
+     * only if it is a voter.
+     */
     boolean isWon(Membership membership) {
         return mGrantedBy.stream().filter(membership::isVoter).count() >= membership.quorum();
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/control/package-info.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The replicated control state: the log that replicas agree on, and the configuration, plans and
- * claims that its entries make.
+ * The replicated control state: the log that replicas agree on, and the state machine that applies
+ * its entries to the configuration, plans and claims.
  */
 package org.quilldyke.control;
--- a/quilldyke-core/src/main/java/org/quilldyke/package-info.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/package-info.java
@@ -1,4 +1,5 @@
 /**
- * What every part shares: result codes, outcomes, the checked exception and the invariant check.
+ * Types shared by all modules: result codes, outcomes, the checked exception and the invariant
+ * check.
  */
 package org.quilldyke;
