--- a/quilldyke-core/src/test/java/org/quilldyke/control/DemotedVoterTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/control/DemotedVoterTest.java
@@ -22,8 +22,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A leader that loses its disk had just demoted a voter, and only that voter had heard of it: its
- * log is the newest, so nobody else can be elected, and by that log it is no voter itself.
+ * A leader demotes a voter and then loses its disk, and only the demoted replica has received the
+ * change. Its log is then the newest, so no other replica can be elected, but by that log it isn't
+ * a voter itself.
  */
 class DemotedVoterTest {
     private static final int SEEDS = 50;
@@ -57,7 +58,10 @@
         }
     }
 
-    /** The demoted one is not a voter: its own vote doesn't count, nor is it asked first. */
+    /**
+     * The demoted replica isn't a voter: its own vote doesn't count, and it doesn't start an
+     * election before the voters.
+     */
     @Test
     void demotedVoterIsNotElectedWhileAVoterCanBe() throws Exception {
         for (int seed = 1; seed <= SEEDS; seed++) {
--- a/quilldyke-core/src/test/java/org/quilldyke/control/ElectionTimerTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/control/ElectionTimerTest.java
@@ -20,7 +20,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** After a power loss of all replicas, half a second passed before one asked to be elected. */
+/**
+ * A replica must start a pre-vote soon after its start: after a power loss of all replicas, half a
+ * second passed before the first one did.
+ */
 final class ElectionTimerTest {
     private static final long ELECTION_MILLIS = 400;
 
--- a/quilldyke-core/src/test/java/org/quilldyke/control/MinimumVotersWaitTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/control/MinimumVotersWaitTest.java
@@ -22,8 +22,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A manifest that three voters acknowledged was gone once the two lost their disks that the group
- * must bear to lose.
+ * A leader must not commit before there are enough voters: a manifest acknowledged by three voters
+ * was lost with two disks, which the group had to tolerate.
  */
 class MinimumVotersWaitTest {
     private static final Membership THREE = Membership.ofIds(List.of("a", "b", "c"));
@@ -38,7 +38,9 @@
         assertThat(wait.isOver(FIVE)).isTrue();
     }
 
-    /** Machines that don't come are lost, and the rest of the group goes on. */
+    /**
+     * Machines that never start count as lost, and the rest of the group continues without them.
+     */
     @Test
     void waitTimesOutWithoutMissingMachines() {
         MinimumVotersWait wait = new MinimumVotersWait(5, 1000);
@@ -47,7 +49,7 @@
         assertThat(wait.isOver(THREE)).isTrue();
     }
 
-    /** A replica alone leads at once, and takes no command before it has waited. */
+    /** A single replica leads at once, but accepts no command until the wait is over. */
     @Test
     void leaderRefusesCommandsUntilTheWaitIsOver() throws Exception {
         ReplicaSettings settings =
--- a/quilldyke-core/src/test/java/org/quilldyke/control/ReplicaCluster.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/control/ReplicaCluster.java
@@ -23,7 +23,7 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 
-/** Replicas that reach each other within a millisecond, in virtual time. */
+/** Replicas on a network with a delay of one millisecond, in virtual time. */
 final class ReplicaCluster {
     private static final long TERM = 2;
 
@@ -35,7 +35,7 @@
         mDeliveries.clear();
     }
 
-    /** Adds a replica that starts with a log of term 2. */
+    /** Adds a replica that starts in term 2 with the given log. */
     void add(ReplicaSettings settings, List<LogEntry> log, int seed) {
         DurableState disk =
                 new DurableState(
@@ -57,13 +57,15 @@
                 .orElse(null);
     }
 
-    /** Has a leader change the membership; what follows from it is delivered later. */
+    /** Proposes a membership change to a leader; the resulting messages are delivered later. */
     void propose(Replica leader, Membership next, long now) throws Exception {
         leader.proposeMembership(next);
         perform(leader.leader(), leader.tick(now), now);
     }
 
-    /** Lets a millisecond pass, in which each message arrives and each write is synced. */
+    /**
+     * Advances the time by a millisecond, in which each message arrives and each write is synced.
+     */
     void step(long now) throws Exception {
         Deque<Delivery> due = mDeliveries;
         mDeliveries = new ArrayDeque<>();
--- a/quilldyke-core/src/test/java/org/quilldyke/control/ReplicaCurrentTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/control/ReplicaCurrentTest.java
@@ -22,8 +22,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * After all processes had been lost, an instance with nine committed changes in its log was ready
- * with the first: its leader, new itself, didn't know yet that the others were committed.
+ * A follower must not count as current before its leader has committed an entry of its own term.
+ * After a failure of all processes, an instance with nine committed changes in its log was ready
+ * when it had applied the first, since its new leader didn't know yet that the others were
+ * committed.
  */
 class ReplicaCurrentTest {
     @Test
--- a/quilldyke-core/src/test/java/org/quilldyke/control/SlowDiskElectionTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/control/SlowDiskElectionTest.java
@@ -26,9 +26,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Disks that take 450 ms to sync a vote, and elections of 300 ms, in simulated time. A replica may
- * win while another one has already begun the next election; but once all follow a leader, slow
- * disks don't unseat it.
+ * Runs elections with a timeout of 300 ms on disks that take 450 ms to sync a vote, in virtual
+ * time. A replica may win while another one has already started the next election, but once all
+ * follow a leader, slow disks must not cause it to be replaced.
  */
 class SlowDiskElectionTest {
     private static final List<String> IDS = List.of("a", "b", "c");
@@ -65,7 +65,8 @@
             }
             replacedFirstLeaders += agreedLeader.equals(firstLeader) ? 0 : 1;
         }
-        // A first leader gives way to an election that began before it won: allowed, and seen.
+        // An election that started before the first leader won may replace it; some seeds must
+        // cover this.
         assertThat(replacedFirstLeaders).isGreaterThan(0);
     }
 
@@ -90,7 +91,7 @@
         }
     }
 
-    /** Returns the leader that each replica knows, empty if they don't agree. */
+    /** Returns the leader that all replicas follow, empty if they disagree. */
     private String commonLeader() {
         String leader = mNodes.get(IDS.get(0)).mReplica.leader();
         boolean agreed = mNodes.values().stream().allMatch(n -> n.mReplica.leader().equals(leader));
@@ -102,7 +103,7 @@
     private record Write(
             long doneAt, Ballot ballot, long index, long epoch, List<Delivery> heldDeliveries) {}
 
-    /** A replica whose writes end one after the other, as those of a disk do. */
+    /** A replica whose writes are completed one after the other, like those of a disk. */
     private final class Node {
         final String mId;
         final Replica mReplica;
@@ -163,7 +164,10 @@
             }
         }
 
-        /** Returns where a message goes: to the others, or behind a vote that is to be stored. */
+        /**
+         * Returns the queue for a message: the network, or the write of a ballot that must complete
+         * first.
+         */
         private List<Delivery> queueFor(ReplicaAction.Send send) {
             for (int i = mWrites.size() - 1; send.needsStoredBallot() && i >= 0; i--) {
                 if (mWrites.get(i).ballot() != null) {
--- a/quilldyke-core/src/test/java/org/quilldyke/control/StartUpVoteDelayTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/control/StartUpVoteDelayTest.java
@@ -26,8 +26,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * After a loss of all processes a leader was won 0.41 s after its peers had met: each replica
- * waited a whole election timeout from its first moment, for a lease that it might have granted.
+ * After its start a replica grants no vote for as long as a lease that it granted before may be
+ * valid. That time counts from the start of its process: after a failure of all processes a leader
+ * was elected only 0.41 s after the replicas were connected, since each waited a whole election
+ * timeout from when it was created.
  */
 class StartUpVoteDelayTest {
     private static final long STARTED_AT = 1000;
@@ -60,13 +62,14 @@
 
     @Test
     void leaderIsElectedSoonAfterTheVoteDelay() throws Exception {
-        // 56 to 112 ms until the first of three asks, two rounds of messages; before: 435 ms.
+        // 56 to 112 ms until the first of three pre-votes, then two rounds of messages. It took 435
+        // ms with a whole election timeout from when the replicas were created.
         assertThat(millisToElectLeader(String::hashCode)).isAtMost(120);
     }
 
     /**
-     * All three asked, were told that they would win, and voted each for itself: none led after 1
-     * s.
+     * Three replicas that were all granted their pre-votes each voted for themselves, and none led
+     * after 1 s.
      */
     @Test
     void simultaneousPreVotesDoNotSplitTheVote() throws Exception {
--- a/quilldyke-core/src/test/java/org/quilldyke/control/UnresponsiveStandbyTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/control/UnresponsiveStandbyTest.java
@@ -23,13 +23,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Two machines with disks were replaced, one after the other, the second right as it led: nothing
- * was accepted any more, for good. The order of events: the first had stood by and its id stayed
- * among the standbys; the second was a voter and its end made another one lead; when that one had
- * missed it for 2.5 s it gave its place to the first that stood by, the dead one, so that two of
- * four voters lived. The cause: who has never answered a leader was last heard at the least number
- * there is, and the time since then overflowed into the past of that limit. The evidence: the new
- * leader lost its lead in the moment of the promotion, and nobody led after it.
+ * A leader must not promote a standby that has never answered it. The last contact with such a
+ * standby is {@link Long#MIN_VALUE}, and the time since then overflowed and looked recent.
+ *
+ * <p>The failure came about when two machines with disks were replaced, one after the other. The
+ * first was a standby, and its id stayed in the membership. The second was a voter that led. After
+ * its failure another replica led, and 2.5 s later promoted the dead standby in its place. With two
+ * of four voters alive, that leader lost its leadership at once, no other was elected, and the
+ * group accepted no command again.
  */
 class UnresponsiveStandbyTest {
     private static final int SEEDS = 20;
