--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CallerConnection.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CallerConnection.java
@@ -47,15 +47,16 @@
 import org.quilldyke.gateway.http.RequestFraming;
 
 /**
- * One connection of a caller: reads a request whole, has it answered, then reads the next.
+ * One connection of a caller: reads a complete request, has it answered, then handles the next.
  *
- * <p>What arrives while a request is answered waits, so that a caller that goes away is noticed.
+ * <p>Messages that arrive while a request is answered are queued; reading goes on meanwhile, so
+ * that a disconnected caller is noticed.
  */
 final class CallerConnection extends ChannelInboundHandlerAdapter {
-    /** How many pieces of later requests wait before no more is read. */
+    /** Queued messages of later requests at which reading pauses. */
     private static final int MAX_QUEUED_MESSAGES = 64;
 
-    /** A caller that has just connected sends its request within this time. */
+    /** Time within which a caller that has just connected sends its first request. */
     private static final long FIRST_REQUEST_MILLIS = 500;
 
     private final EntryContext mEntry;
@@ -86,7 +87,7 @@
         if (mClosing) {
             ReferenceCountUtil.release(message);
         } else if (mExchange != null || !mQueuedMessages.isEmpty() || !ctx.channel().isWritable()) {
-            // What waits comes first, also between an answer and the step that reads on.
+            // Keeps the order, also between the end of an answer and the task for queued messages.
             mQueuedMessages.add(message);
             if (mQueuedMessages.size() >= MAX_QUEUED_MESSAGES) {
                 ctx.channel().config().setAutoRead(false);
@@ -127,13 +128,13 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            mEntry.log().fault(cause, "while a caller is read");
+            mEntry.log().fault(cause, "while reading from a caller");
         }
-        // Else a reset by the caller; channelInactive follows.
+        // An IOException is a reset by the caller; channelInactive follows.
         ctx.close();
     }
 
-    /** Returns whether a request is answered, read or waits, or an answer hasn't left yet. */
+    /** Returns whether a request is read, queued or answered, or an answer isn't written yet. */
     boolean isBusy() {
         return mExchange != null
                 || mHead != null
@@ -141,12 +142,12 @@
                 || isWritingAnswer();
     }
 
-    /** An answer that has ended may still wait here for a caller that reads slowly. */
+    /** Returns whether a complete answer is still being written to a caller that reads slowly. */
     private boolean isWritingAnswer() {
         return mLastWrite != null && !mLastWrite.isDone();
     }
 
-    /** Ends what is open on the connection: the instance ends. */
+    /** Ends what is open on the connection, since the instance has to stop now. */
     void onShutdownDeadline() {
         if (mExchange != null) {
             mExchange.onShutdownDeadline();
@@ -161,12 +162,12 @@
                             "why",
                             "the caller has not read the end of its answer");
         } else {
-            // What came on it now would run, and be lost with the process.
+            // A request that arrived now would run, and its answer would be lost with the process.
             close();
         }
     }
 
-    /** Closes the connection if nothing is open on it, and its first request isn't under way. */
+    /** Closes the connection if it is idle, unless its first request may be on its way. */
     void closeIfIdle() {
         boolean isNew = mLastWrite == null && mEntry.now() - mOpenedAt < FIRST_REQUEST_MILLIS;
         if (!isBusy() && !isNew) {
@@ -179,7 +180,7 @@
         mContext.close();
     }
 
-    /** Answers with a whole body. */
+    /** Sends a complete answer. */
     void answer(HttpResponseStatus status, HttpHeaders headers, ByteBuf body) {
         DefaultFullHttpResponse response =
                 new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, body);
@@ -190,7 +191,7 @@
         onAnswered();
     }
 
-    /** Answers that the instance itself refuses or gives up a request. */
+    /** Sends an answer of the instance itself: the request is refused or has failed. */
     void answer(ResultCode code, long retryAfterMillis) {
         String text = code.label() + " " + code.meaning() + "\n";
         HttpHeaders headers =
@@ -209,7 +210,7 @@
                 Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
     }
 
-    /** Begins an answer whose length isn't known. */
+    /** Starts an answer whose length isn't known. */
     void beginStream(HttpResponseStatus status, HttpHeaders headers) {
         DefaultHttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, status);
         response.headers().add(headers);
@@ -222,23 +223,23 @@
         mContext.write(response);
     }
 
-    /** Passes a part of a stream on. */
+    /** Sends a part of a stream. */
     void write(ByteBuf bytes) {
         mContext.writeAndFlush(new DefaultHttpContent(bytes));
     }
 
-    /** Ends a stream that is whole. */
+    /** Ends a complete stream. */
     void endStream() {
         mLastWrite = mContext.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT);
         onAnswered();
     }
 
-    /** Cuts the connection, so that what was sent is no whole answer. */
+    /** Closes the connection during an answer, so that the caller sees it as incomplete. */
     void abort() {
         mExchange = null;
         mClosing = true;
         if (mHead != null && mHead.protocolVersion().equals(HttpVersion.HTTP_1_0)) {
-            // Without chunks only a reset tells a cut answer from a whole one.
+            // Without chunks only a reset distinguishes an incomplete answer from a complete one.
             mContext.channel().config().setOption(ChannelOption.SO_LINGER, 0);
         }
         mContext.close();
@@ -278,7 +279,7 @@
         RequestFraming.checkDecoded(content.decoderResult());
         if (mBody.readableBytes() + content.content().readableBytes()
                 > mEntry.limits().maxBodyBytes()) {
-            throw QuilldykeException.notRun(ResultCode.BODY_TOO_LARGE, "chunked");
+            throw QuilldykeException.notRun(ResultCode.BODY_TOO_LARGE, "chunked body");
         }
         mBody.writeBytes(content.content());
         if (content instanceof LastHttpContent) {
@@ -297,7 +298,7 @@
             mBody.release();
             mBody = null;
         }
-        // Where a malformed request ends isn't known, so nothing after it can be read.
+        // The end of a malformed request isn't known, so nothing after it can be parsed.
         mKeepAlive = false;
         answer(e.code(), e.retryAfterMillis());
     }
@@ -324,20 +325,26 @@
     }
 
     /**
-     * Asked at the end of each answer: the shutdown may have begun after the head of a stream,
-     * which then promised to keep the connection. What was read behind the stream is still
-     * answered.
+     * Evaluated at the end of each answer: the shutdown may have started after the head of a
+     * stream, which then announced a persistent connection. Requests that are queued behind the
+     * stream are still answered.
      */
     private boolean isLastAnswer() {
         return !mKeepAlive || closesForShutdown();
     }
 
-    /** A request that came behind this one was sent before its caller could know of the close. */
+    /**
+     * Returns whether a shutdown closes the connection after this answer. Queued requests keep it
+     * open: they were sent before the caller could know of the close.
+     */
     private boolean closesForShutdown() {
         return mEntry.isDraining() && mQueuedMessages.isEmpty();
     }
 
-    /** The next answer isn't fetched before its caller takes the one before: each is held whole. */
+    /**
+     * Handles queued messages while the channel is writable: answers are buffered in full, so the
+     * next one isn't requested before the caller has read the previous one.
+     */
     private void processQueuedMessages() {
         while (mExchange == null && !mQueuedMessages.isEmpty() && mContext.channel().isWritable()) {
             Object message = mQueuedMessages.poll();
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CallerServer.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CallerServer.java
@@ -26,7 +26,7 @@
 import org.quilldyke.ResultCode;
 import org.quilldyke.gateway.http.HttpListener;
 
-/** Takes callers' connections. */
+/** Accepts callers' connections. */
 public final class CallerServer {
     private final EntryContext mEntry;
     private final Set<CallerConnection> mConnections = new HashSet<>();
@@ -37,10 +37,10 @@
     }
 
     /**
-     * Starts to take connections.
+     * Starts to accept connections.
      *
      * @param address {@code IP:port}
-     * @param entry what the requests share
+     * @param entry the context that all requests share
      * @throws QuilldykeException {@link ResultCode#ADDRESS_IN_USE} if the address can't be bound
      */
     public static CallerServer start(String address, EntryContext entry) throws QuilldykeException {
@@ -49,12 +49,12 @@
         return server;
     }
 
-    /** Returns how many connections have a request open; call it on the traffic thread. */
+    /** Returns the number of connections with an open request; call it on the traffic thread. */
     public int busyConnections() {
         return (int) mConnections.stream().filter(CallerConnection::isBusy).count();
     }
 
-    /** Takes no new connections; call it on the traffic thread. */
+    /** Accepts no more connections; call it on the traffic thread. */
     public void closeListener() {
         mListener.close();
     }
@@ -62,7 +62,7 @@
     /**
      * Closes the connections without an open request; call it on the traffic thread.
      *
-     * @return how many are left: those with a request open, and new ones that may still send one
+     * @return the number of those that stay: with an open request, or so new that one may follow
      */
     public int closeIdle() {
         new ArrayList<>(mConnections).forEach(CallerConnection::closeIfIdle);
@@ -70,9 +70,9 @@
     }
 
     /**
-     * Ends what is still open, and tells of each; call it on the traffic thread.
+     * Ends all open requests and logs each; call it on the traffic thread.
      *
-     * @return how many connections had something open
+     * @return the number of connections with an open request
      */
     public int onShutdownDeadline() {
         int busy = busyConnections();
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CallerStream.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CallerStream.java
@@ -21,8 +21,9 @@
 import org.quilldyke.caller.ShutdownAdmission;
 
 /**
- * The events of one answer on their way to its caller, from whatever target they come: when the
- * first was passed on, how long the pauses were, and those that wait for a successor to begin.
+ * The events of one answer that are sent to its caller, from all targets that contribute to it.
+ * Measures the time to the first event and the pauses, and holds events back while a successor is
+ * starting.
  */
 final class CallerStream {
     private final CallerConnection mCaller;
@@ -38,7 +39,7 @@
         mCaller = caller;
     }
 
-    /** Sends the head of the first target that answers; one that goes on later adds only events. */
+    /** Sends the head of the first target's answer; later targets contribute only events. */
     void begin(TargetAnswer answer, long now) {
         mBegun = true;
         mBeganAt = now;
@@ -52,11 +53,11 @@
     }
 
     /**
-     * Tells how long the answer lasted: by that it is known what may still be taken when the
-     * instance shuts down.
+     * Records the duration of the answer, from which the instance estimates during a shutdown which
+     * requests still complete in time.
      *
-     * @param complete whether it is passed on whole
-     * @param sentAt when the last request was sent that may have run, 0 if none was
+     * @param complete whether the answer was sent completely
+     * @param sentAt when the last attempt that may have run was sent, 0 if none was
      */
     void recordDuration(
             ShutdownAdmission shutdown,
@@ -76,12 +77,12 @@
         }
     }
 
-    /** Returns when the last event was passed on, by the entry's clock. */
+    /** Returns when the last event was sent, in milliseconds of the entry's clock. */
     long lastEventAt() {
         return mLastEventAt;
     }
 
-    /** Returns the time from the sending to the first event, -1 if there was none. */
+    /** Returns the time from sending the request to the first event, -1 if there was none. */
     long firstEventMillis() {
         return mFirstEventMillis;
     }
@@ -91,7 +92,7 @@
         return mLongestPauseMillis;
     }
 
-    /** Passes an event on. */
+    /** Sends an event. */
     void write(EventSplitter.Event event, long now) {
         mLongestPauseMillis = Math.max(mLongestPauseMillis, now - mLastEventAt);
         mLastEventAt = now;
@@ -99,17 +100,17 @@
         mCaller.write(event.bytes());
     }
 
-    /** Keeps an event until it is known who goes on. */
+    /** Holds an event until it is known whether a successor takes over. */
     void hold(EventSplitter.Event event) {
         mHeldEvents.add(event);
     }
 
-    /** Returns the next event that was kept, null if there is none. */
+    /** Returns the next held event, null if there is none. */
     EventSplitter.Event nextHeld() {
         return mHeldEvents.poll();
     }
 
-    /** Forgets the events that were kept: somebody else sends them. */
+    /** Discards the held events; a successor sends them again. */
     void releaseHeld() {
         mHeldEvents.forEach(event -> event.bytes().release());
         mHeldEvents.clear();
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/ConfigurationStatus.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/ConfigurationStatus.java
@@ -16,12 +16,13 @@
 package org.quilldyke.gateway.caller;
 
 /**
- * Which configuration decides on a request, as its log lines tell it.
+ * The configuration that decides on a request, for its log lines.
  *
  * @param version the manifest's version, -1 if none is known
- * @param logIndex where in the replicated log it was accepted, -1 if none is known
- * @param confirmationAgeMillis time since the last confirmed question was sent, -1 if none was
- * @param confirmedBy who confirmed it, empty if nobody has
+ * @param logIndex the index in the replicated log at which it was accepted, -1 if none is known
+ * @param confirmationAgeMillis time since the last answered request for confirmation was sent, -1
+ *     if there was none
+ * @param confirmedBy the address of the control process that confirmed it, empty if none has
  */
 record ConfigurationStatus(
         long version, long logIndex, long confirmationAgeMillis, String confirmedBy) {}
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CrashDetector.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CrashDetector.java
@@ -23,9 +23,9 @@
 import org.quilldyke.caller.SuspectRequests;
 import org.quilldyke.caller.TargetCrash;
 
-/** Finds out which targets have crashed, and what they worked on then. On the traffic thread. */
+/** Detects crashed targets and the requests that they ran. Used on the traffic thread. */
 final class CrashDetector {
-    /** The other connections of a target that has ended are closed within this time. */
+    /** Delay of a probe: the other connections of a terminated target close within this time. */
     private static final long PROBE_DELAY_MILLIS = 20;
 
     private final EntryContext mEntry;
@@ -45,7 +45,7 @@
         return mSuspects;
     }
 
-    /** A target has closed the connection of a run: whether it has ended shows in a moment. */
+    /** Handles a run whose target closed the connection; a probe shows whether it terminated. */
     void onRunLost(String target, RequestFingerprint request) {
         mLostRuns.onDisconnected(target, request, mEntry.now());
         mEntry.loop()
@@ -55,7 +55,7 @@
                         TimeUnit.MILLISECONDS);
     }
 
-    /** A target takes no connections, or has started again. */
+    /** A target refuses connections, is silent, or has restarted. */
     void onTargetDown(String target) {
         long now = mEntry.now();
         mLostRuns
@@ -64,7 +64,7 @@
                 .ifPresent(crash -> reportCrash(crash, now));
     }
 
-    /** A target has said that it is gone: what it breaks off then is no crash. */
+    /** A target has announced that it stops: runs that it ends then are no sign of a crash. */
     void onTargetLeft(String target) {
         mLostRuns.onTargetLeft(target);
     }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CrashListener.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CrashListener.java
@@ -18,9 +18,9 @@
 import org.quilldyke.caller.RequestFingerprint;
 import org.quilldyke.caller.TargetCrash;
 
-/** Hears what an entry sees of targets' crashes, on the traffic thread. */
+/** Receives what an entry observes of targets' crashes, on the traffic thread. */
 public interface CrashListener {
-    /** A listener that takes notice of nothing. */
+    /** A listener that does nothing. */
     CrashListener NONE =
             new CrashListener() {
                 @Override
@@ -30,9 +30,9 @@
                 public void onSuspectCompleted(RequestFingerprint request, long at) {}
             };
 
-    /** A target has ended amid runs. */
+    /** A target has terminated while it ran requests. */
     void onCrash(TargetCrash crash);
 
-    /** A request that is suspected to crash targets ran to its end. */
+    /** A request that is suspected to crash targets has completed. */
     void onSuspectCompleted(RequestFingerprint request, long at);
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/EntryContext.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/EntryContext.java
@@ -43,20 +43,22 @@
 import org.quilldyke.routing.AdvertisedLimit;
 import org.quilldyke.routing.TargetSelector;
 
-/** What all requests at an entry instance share. Lives on the traffic thread. */
+/**
+ * State and services shared by all requests of an entry instance. Used on the traffic thread only.
+ */
 public final class EntryContext {
-    /** How often it is looked whether a target whose reports have ended still answers. */
+    /** Interval of the checks whether a target that is no longer reported still responds. */
     private static final long LIVENESS_CHECK_MILLIS = 500;
 
-    /** How often it is looked whether a few streams keep a target from loading weights. */
+    /** Interval of the checks whether a few streams delay a target's loading of weights. */
     private static final long LOADING_DELAY_CHECK_MILLIS = 100;
 
-    /** How often it is looked, during a shutdown, which streams won't end in time. */
+    /** Interval of the checks, during a shutdown, for streams that won't complete in time. */
     private static final long SHUTDOWN_CHECK_MILLIS = 100;
 
     private static final long NO_VERSION = -1;
 
-    /** Stands for this entry where a control process may have told something. */
+    /** Logged as the source of a limit that was read from an answer, not sent by control. */
     private static final String SOURCE_ANSWER = "answer";
 
     private final EventLoop mLoop;
@@ -72,7 +74,10 @@
     private final EventLog mLog;
     private final GatewayMetrics mMetrics;
     private final Map<String, Set<Exchange>> mExchangesByTarget = new HashMap<>();
+
+    /** Targets that control has removed but that still respond. */
     private final Set<String> mUnreported = new HashSet<>();
+
     private final CrashDetector mCrashDetector = new CrashDetector(this);
     private Consumer<AdvertisedLimit> mLimitConsumer = limit -> {};
     private RouteTable mRoutes;
@@ -98,7 +103,7 @@
                         new TargetConnectionPool.Listener() {
                             @Override
                             public void onInternalError(Throwable fault) {
-                                mLog.fault(fault, "while a target is read");
+                                mLog.fault(fault, "while reading from a target");
                             }
 
                             @Override
@@ -114,16 +119,16 @@
         mMetrics = dependencies.metrics();
     }
 
-    /** Returns an entry that knows no configuration yet. */
+    /** Returns a context without a configuration. */
     public static EntryContext of(Dependencies dependencies) {
         return new EntryContext(dependencies);
     }
 
     /**
-     * Takes a configuration.
+     * Applies a configuration.
      *
-     * @param routes what it allows
-     * @param logIndex where in the replicated log it was accepted
+     * @param routes its routes
+     * @param logIndex the index in the replicated log at which it was accepted
      */
     public void onRoutes(RouteTable routes, long logIndex) {
         mRoutes = routes;
@@ -131,7 +136,13 @@
         mTargetStates.onServices(routes.manifest().services());
     }
 
-    /** Notes that a target is gone or was silent for too long: what is open there is lost. */
+    /**
+     * Stops routing to a target.
+     *
+     * @param unannounced whether it was removed without a notice of its own, such as by the expiry
+     *     of its lease; it is then kept while it responds, and afterwards its open requests are
+     *     sent to successors
+     */
     public void onTargetRemoved(String target, boolean unannounced) {
         if (unannounced && mTargetStates.isResponding(target, now())) {
             // Its reports don't arrive, but its answers do.
@@ -152,8 +163,8 @@
     }
 
     /**
-     * Notes that a target is said to have started again: it is asked for nothing more, and what it
-     * hasn't begun to answer is lost.
+     * Handles a report that a target has restarted: no more requests are sent to it, and those that
+     * it hasn't started to answer have failed.
      */
     public void onTargetRestarted(String target) {
         mCrashDetector.onTargetDown(target);
@@ -174,20 +185,20 @@
         return new ArrayList<>(mExchangesByTarget.getOrDefault(target, Set.of()));
     }
 
-    /** Takes what a target reports. */
+    /** Applies a report on a target. */
     public void onReport(TargetReport report) {
         mUnreported.remove(report.id());
         mTargetStates.onReport(report);
     }
 
-    /** Takes what a target's answer says of its limit, and tells others if that is new. */
+    /** Applies a limit from a target's answer, and publishes it if it has changed. */
     void onLimitInAnswer(AdvertisedLimit limit) {
         if (applyLimit(limit, SOURCE_ANSWER)) {
             mLimitConsumer.accept(limit);
         }
     }
 
-    /** Takes what a target said of its limit to another entry, as a control process tells. */
+    /** Applies a limit that another entry read from an answer and a control process relayed. */
     public void onLimitFromControl(AdvertisedLimit limit, String control) {
         applyLimit(limit, control);
     }
@@ -207,12 +218,12 @@
         return changed;
     }
 
-    /** Has a consumer take limits that targets name anew here; the one before takes no more. */
+    /** Sets the consumer of limits that have changed here; replaces the previous one. */
     public void setLimitConsumer(Consumer<AdvertisedLimit> consumer) {
         mLimitConsumer = consumer;
     }
 
-    /** Notes that a target is about to load weights, or has done so. */
+    /** Notes that a target is about to load weights, or has finished doing so. */
     public void onLoading(String target, boolean loading) {
         mTargetStates.onLoading(target, loading, now());
         if (loading) {
@@ -221,8 +232,8 @@
     }
 
     /**
-     * Streams that hold up a target that is to load weights go on elsewhere; but not from an
-     * instance that shuts down, which has to bring them to their end.
+     * Moves streams that delay a target's loading of weights to other targets, but not during a
+     * shutdown of this instance, which has to complete them.
      */
     private void checkLoadingDelay(String target) {
         boolean nothingOpen = !mExchangesByTarget.containsKey(target);
@@ -243,11 +254,11 @@
     }
 
     /**
-     * Takes no more connections for long, and no request that would not end in time: answers end
-     * their connections.
+     * Starts to shut down: connections are closed after their answers, and requests that aren't
+     * expected to complete in time are refused.
      *
-     * @param startedAt when the instance was told to shut down
-     * @param endsAt when the last answer has to be out
+     * @param startedAt when the shutdown was requested
+     * @param endsAt when the last answer has to be written
      */
     public void drain(long startedAt, long endsAt) {
         mDrainStartedAt = OptionalLong.of(startedAt);
@@ -255,7 +266,7 @@
         checkShutdownDeadline(endsAt);
     }
 
-    /** Streams that would outlast the instance go on where they may end in time. */
+    /** Moves streams that would outlast the shutdown to targets where they may complete in time. */
     private void checkShutdownDeadline(long endsAt) {
         if (now() >= endsAt) {
             return;
@@ -267,12 +278,12 @@
                 () -> checkShutdownDeadline(endsAt), SHUTDOWN_CHECK_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Returns the present configuration, or null if none is known. */
+    /** Returns the routes of the current configuration, or null if none is known. */
     public RouteTable routes() {
         return mRoutes;
     }
 
-    /** Returns what callers may send. */
+    /** Returns the limits on callers' requests. */
     public Limits limits() {
         return mRoutes == null ? Limits.defaults() : mRoutes.manifest().limits();
     }
@@ -282,49 +293,49 @@
         return mShutdownAdmission.isShuttingDown();
     }
 
-    /** Returns for how long the instance has shut down, in milliseconds; empty if it doesn't. */
+    /** Returns the milliseconds since the start of the shutdown; empty if there is none. */
     OptionalLong drainMillis() {
         return mDrainStartedAt.isEmpty()
                 ? OptionalLong.empty()
                 : OptionalLong.of(now() - mDrainStartedAt.getAsLong());
     }
 
-    /** Returns the version of the present configuration, -1 if none is known. */
+    /** Returns the version of the current configuration, -1 if none is known. */
     long configurationVersion() {
         return mRoutes == null ? NO_VERSION : mRoutes.manifest().version();
     }
 
     /**
-     * Notes that a control process has confirmed the present configuration.
+     * Notes that a control process has confirmed the current configuration.
      *
-     * @param askedAt when it was asked, by the leases' clock
-     * @param control its address
+     * @param askedAt when the confirmation was requested, in milliseconds of the leases' clock
+     * @param control the address of the control process
      */
     public void onConfigurationConfirmed(long askedAt, String control) {
         mKeyLease.onConfirmed(askedAt);
         mConfirmedBy = control;
     }
 
-    /** Returns which configuration is in force here, and how sure that is. */
+    /** Returns which configuration is in force here, and when and by whom it was confirmed. */
     ConfigurationStatus configurationStatus() {
         long age = mKeyLease.wasGranted() ? confirmationAgeMillis() : NO_VERSION;
         return new ConfigurationStatus(configurationVersion(), mLogIndex, age, mConfirmedBy);
     }
 
     /**
-     * Returns whether the configuration is the newest, as far as can be known: only then a path or
-     * a key that it doesn't hold is denied.
+     * Returns whether the configuration was confirmed within the time in which an accepted one must
+     * be in force. Only then are paths and keys denied that it doesn't hold.
      */
     public boolean isConfigurationCurrent() {
         return mRoutes != null && confirmationAgeMillis() < mMaxApplyMillis;
     }
 
-    /** Returns whether the configuration was confirmed a short while ago. */
+    /** Returns whether the confirmation of the configuration is still valid. */
     public boolean isConfigurationConfirmed() {
         return mRoutes != null && mKeyLease.isValid(mLeaseClock.getAsLong());
     }
 
-    /** Returns the present time in monotonic milliseconds. */
+    /** Returns the current time in monotonic milliseconds. */
     public long now() {
         return mClock.getAsLong();
     }
@@ -334,22 +345,22 @@
         return mLoop;
     }
 
-    /** Returns the targets. */
+    /** Returns the targets' states and the selection among them. */
     public TargetSelector targetStates() {
         return mTargetStates;
     }
 
-    /** Returns the connections to targets. */
+    /** Returns the pool of connections to targets. */
     public TargetConnectionPool pool() {
         return mPool;
     }
 
-    /** Returns what bounds second attempts. */
+    /** Returns the budget of retries. */
     public ServiceRetryBudget retryBudget() {
         return mRetryBudget;
     }
 
-    /** Returns the decisions for a request. */
+    /** Returns the forwarding decisions for a request. */
     Forwarding forwarding(ForwardRequest request) {
         return Forwarding.of(request, mTargetStates, mRetryBudget, mShutdownAdmission, suspects());
     }
@@ -359,7 +370,7 @@
         return mCrashDetector.suspects();
     }
 
-    /** Has a listener hear of crashes; the one before hears no more. */
+    /** Sets the listener for crashes; replaces the previous one. */
     public void setCrashListener(CrashListener listener) {
         mCrashDetector.setListener(listener);
     }
@@ -373,12 +384,12 @@
         return mKeyLease.ageMillis(mLeaseClock.getAsLong());
     }
 
-    /** Returns for how long keys may be taken for good. */
+    /** Returns the lease within which keys may be accepted. */
     public KeyLease keyLease() {
         return mKeyLease;
     }
 
-    /** Returns which requests are taken while the instance shuts down. */
+    /** Returns which requests are accepted during a shutdown. */
     ShutdownAdmission shutdownAdmission() {
         return mShutdownAdmission;
     }
@@ -410,18 +421,18 @@
     }
 
     /**
-     * What an entry is made of.
+     * The collaborators of an {@link EntryContext}.
      *
      * @param loop the traffic thread
      * @param clock monotonic milliseconds
-     * @param leaseClock the time by which leases end, in milliseconds
-     * @param dialect how callers and targets speak
-     * @param targetStates the targets
-     * @param retryBudget bounds second attempts
-     * @param keyLease for how long keys may be taken for good
-     * @param maxApplyMillis within what time an accepted configuration must be in force
-     * @param log where events go
-     * @param metrics what is counted
+     * @param leaseClock the clock of leases, in milliseconds
+     * @param dialect the wire formats of callers and targets
+     * @param targetStates the targets' states and the selection among them
+     * @param retryBudget bounds the retries
+     * @param keyLease the lease within which keys may be accepted
+     * @param maxApplyMillis the time within which an accepted configuration must be in force
+     * @param log receives events
+     * @param metrics receives counts and durations
      */
     public record Dependencies(
             EventLoop loop,
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/EventSplitter.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/EventSplitter.java
@@ -23,12 +23,12 @@
 import java.util.List;
 
 /**
- * Cuts a stream of bytes into whole server-sent events, whose bytes stay as they are.
+ * Splits a stream of bytes into complete server-sent events, whose bytes are kept unchanged.
  *
- * <p>An event ends with an empty line. Its number is that of its {@code id} field.
+ * <p>An event ends with an empty line. Its number is the value of its {@code id} field.
  */
 final class EventSplitter {
-    /** Stands for an event without a number. */
+    /** The number of an event that has none. */
     static final long NO_NUMBER = -1;
 
     private static final String ID_FIELD = "id:";
@@ -40,7 +40,7 @@
         mBuffer = allocator.buffer();
     }
 
-    /** Takes bytes and returns the events that are whole now; the caller releases them. */
+    /** Adds bytes and returns the events that are complete now; the caller releases them. */
     List<Event> add(ByteBuf bytes) {
         mBuffer.writeBytes(bytes);
         List<Event> events = new ArrayList<>();
@@ -58,12 +58,12 @@
         return events;
     }
 
-    /** Returns how many bytes are here of an event that isn't whole. */
+    /** Returns the number of buffered bytes of an incomplete event. */
     int incompleteBytes() {
         return mBuffer.readableBytes();
     }
 
-    /** Forgets the part of an event that never came whole. */
+    /** Discards the buffered part of an incomplete event. */
     void clear() {
         mBuffer.clear();
         mLineStart = 0;
@@ -94,9 +94,9 @@
     }
 
     /**
-     * A whole event.
+     * A complete event.
      *
-     * @param bytes its bytes, with the empty line that ends it
+     * @param bytes its bytes, including the empty line that ends it
      * @param number its number, {@link #NO_NUMBER} if it has none
      */
     record Event(ByteBuf bytes, long number) {}
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/Exchange.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/Exchange.java
@@ -29,9 +29,9 @@
 import org.quilldyke.caller.Step;
 import org.quilldyke.routing.Choice;
 
-/** One request from its arrival to its answer: carries out what {@link Forwarding} decides. */
+/** One request from its arrival to its answer: performs the steps of {@link Forwarding}. */
 final class Exchange {
-    /** How often a request that waits for the first configuration looks for it. */
+    /** Interval at which a request that waits for the first configuration checks for it. */
     private static final long START_UP_POLL_MILLIS = 20;
 
     private final EntryContext mEntry;
@@ -46,10 +46,10 @@
     private ForwardRequest mRequest;
     private Forwarding mForwarding;
 
-    /** The answer that is passed on; null between attempts. */
+    /** The answer that is relayed; null between attempts. */
     private TargetAnswer mAnswer;
 
-    /** The answer that takes its place once it begins; null if none is asked for. */
+    /** The answer that replaces it once it has started; null if none was requested. */
     private TargetAnswer mSuccessor;
 
     private String mSuccessorReason = "";
@@ -80,7 +80,7 @@
         mArrivedAt = entry.now();
     }
 
-    /** Reads what the request says and takes the first step. */
+    /** Parses the request and performs the first step. */
     void start() {
         try {
             if (waitsForStartUp()) {
@@ -114,7 +114,7 @@
         end();
     }
 
-    /** The instance ends before the answer does. */
+    /** The instance has to stop before the answer is complete. */
     void onShutdownDeadline() {
         if (mEnded) {
             return;
@@ -127,7 +127,7 @@
         perform(step);
     }
 
-    /** While the caller doesn't read, the targets aren't read either. */
+    /** Pauses reading from targets while the caller doesn't read. */
     void onWritable(boolean writable) {
         mReadingPaused = !writable;
         if (mAnswer != null) {
@@ -138,14 +138,14 @@
         }
     }
 
-    /** A target is silent to all; it is kept until somebody else begins to answer. */
+    /** A target responds to no request; its run is kept until a successor starts to answer. */
     void onTargetSilent(String target) {
         if (isServedBy(target) && mayUseKey()) {
             startSuccessor(mForwarding.onTargetUnresponsive(now()), "the target is silent");
         }
     }
 
-    /** Who has begun to answer is judged by what is heard of it, whatever is said. */
+    /** The report may be wrong: a started answer is only replaced if its target stays silent. */
     void onTargetRestarted(String target, String reason) {
         if (isServedBy(target) && mAnswer.hasStartedRun()) {
             mSilenceDetector.onRestartReported();
@@ -159,19 +159,17 @@
         }
     }
 
-    /** A target waits for its runs to end, to load weights. */
+    /** A target waits for its runs to complete before it loads weights. */
     void onTargetWaitsToLoad(String target) {
         if (isServedBy(target)) {
             startSuccessor(mForwarding.onLoadPending(now()), "the target waits to load weights");
         }
     }
 
-    /**
-     * The instance has to end soon: a stream that would last longer goes on where it is quicker.
-     */
+    /** Moves a stream that would outlast the shutdown to a faster target. */
     void onShuttingDown() {
         if (!mEnded && mAnswer != null && !mReadingPaused) {
-            startSuccessor(mForwarding.onShutdownCheck(now()), "it would outlast the instance");
+            startSuccessor(mForwarding.onShutdownCheck(now()), "would outlast this instance");
         }
     }
 
@@ -200,7 +198,7 @@
         }
     }
 
-    /** The target refuses the request unrun. */
+    /** The target has refused the request without running it. */
     void onRefused(TargetAnswer answer) {
         logAttempt(answer, "refused", "status " + answer.answerHead().status());
         if (answer == mSuccessor) {
@@ -213,7 +211,6 @@
         }
     }
 
-    /** A stream begins. */
     void onStreamStart(TargetAnswer answer) {
         if (answer == mSuccessor) {
             if (!mForwarding.maySuccessorTakeOver(answer.answerHead())) {
@@ -233,7 +230,7 @@
         }
     }
 
-    /** An event of a stream is here; it is released when it is written, or here. */
+    /** Handles an event, whose buffer is released here or when it is written. */
     void onEvent(TargetAnswer answer, EventSplitter.Event event) {
         if (mForwarding.holdsEvents()) {
             mStream.hold(event);
@@ -243,7 +240,7 @@
         }
     }
 
-    /** An answer that isn't a stream is whole. */
+    /** An answer that isn't a stream is complete. */
     void onCompleteAnswer(TargetAnswer answer) {
         if (answer == mSuccessor) {
             if (!mForwarding.maySuccessorTakeOver(answer.answerHead())) {
@@ -271,7 +268,7 @@
         cancelSuccessor();
         writeHeldEvents();
         if (mAnswer != answer) {
-            // What was held has spoiled it.
+            // A held event was out of order, so the answer has failed.
             return;
         }
         beginStream();
@@ -282,7 +279,7 @@
         mCaller.endStream();
     }
 
-    /** An answer broke off, or is none. */
+    /** An answer was broken off, or isn't a valid one. */
     void onFailed(TargetAnswer answer, ResultCode code, String reason) {
         logAttempt(answer, "broken", code.label() + " " + reason);
         if (answer == mSuccessor) {
@@ -323,11 +320,11 @@
         } else if (step instanceof Step.Refuse refuse) {
             refuse(refuse.code(), refuse.retryAfterMillis(), refuse.detail());
         } else if (step instanceof Step.Fail fail) {
-            refuse(fail.code(), 0, "may have run");
-        } else if (step instanceof Step.Abort broken) {
-            logCut(broken);
-            mEntry.metrics().onRefused(broken.code());
-            mEntry.metrics().onCut(broken.cause());
+            refuse(fail.code(), 0, "the request may have run");
+        } else if (step instanceof Step.Abort aborted) {
+            logCut(aborted);
+            mEntry.metrics().onRefused(aborted.code());
+            mEntry.metrics().onCut(aborted.cause());
             end();
             mCaller.abort();
         } else {
@@ -338,7 +335,7 @@
     private void send(Step.Send send) {
         mChoice = send.choice();
         if (!mayUseKey()) {
-            String age = "age " + mEntry.confirmationAgeMillis();
+            String age = "confirmation age in ms: " + mEntry.confirmationAgeMillis();
             perform(mForwarding.onKeyUnconfirmed(RequestAdmission.UNCONFIRMED_RETRY_MILLIS, age));
             return;
         }
@@ -346,12 +343,12 @@
     }
 
     /**
-     * An answer under way was allowed when it began, and its rest goes on wherever it may: a
-     * confirmation that lapses meanwhile takes nothing from it, as it doesn't from one that stays.
+     * A started answer was allowed at its start. If the confirmation expires meanwhile, it may
+     * still continue elsewhere, just as an answer that stays at its target does.
      */
     private boolean mayUseKey() {
-        boolean keyed = !mRequest.route().allowsAnonymous() && mEntry.routes().requiresKeys();
-        return !keyed || mForwarding.isAnswerStarted() || mEntry.isConfigurationConfirmed();
+        boolean needsKey = !mRequest.route().allowsAnonymous() && mEntry.routes().requiresKeys();
+        return !needsKey || mForwarding.isAnswerStarted() || mEntry.isConfigurationConfirmed();
     }
 
     private TargetAnswer startAttempt(Step.Send send) {
@@ -359,7 +356,7 @@
                 new TargetAnswer(this, mEntry, mRequest, send.choice(), mBody.alloc());
         mLog.routed(mRequest, send, mEntry.targetStates(), mEntry.configurationStatus(), now());
         mEntry.metrics().onAttempt();
-        // What is heard of it at once is heard of the answer that is asked for here.
+        // Assigned before the start, which may call back at once.
         if (mAnswer == null) {
             mAnswer = answer;
         } else {
@@ -370,8 +367,8 @@
     }
 
     /**
-     * Asks who is to go on, while the present answer is kept: if it were left first, whatever
-     * befalls the other one would cut an answer whose target is at work.
+     * Starts an attempt that is to replace the current answer, which is kept until then: otherwise
+     * a failure of the successor would cut an answer whose target is working.
      */
     private void startSuccessor(Optional<Step.Send> send, String reason) {
         if (send.isEmpty()) {
@@ -393,16 +390,16 @@
         }
     }
 
-    /** The successor doesn't begin in time: the caller has waited long enough for events. */
+    /** The successor has not started in time: the caller must not wait longer for events. */
     private void onHoldTimeout() {
         if (!mEnded && mSuccessor != null) {
-            logAttempt(mSuccessor, "dropped", "not begun in time");
+            logAttempt(mSuccessor, "dropped", "not started in time");
             cancelSuccessor();
             writeHeldEvents();
         }
     }
 
-    /** The successor has begun. */
+    /** Replaces the current answer, since the successor has started. */
     private void switchToSuccessor() {
         mForwarding.onSuccessorStarted();
         logAttempt(mAnswer, "moved", mSuccessorReason);
@@ -410,7 +407,6 @@
         promoteSuccessor();
     }
 
-    /** The successor is the only answer from now on. */
     private void promoteSuccessor() {
         mAnswer = mSuccessor;
         mChoice = mAnswer.choice();
@@ -421,14 +417,14 @@
         mSilenceDetector.start(mAnswer, mForwarding.unresponsiveTimeoutMillis());
     }
 
-    /** The successor is none: the present answer goes on as if it hadn't been asked. */
+    /** Continues with the current answer, since the successor has failed. */
     private void keepCurrentAnswer() {
         mSuccessor = null;
         cancelHoldTimer();
         writeHeldEvents();
     }
 
-    /** The successor isn't wanted any more. */
+    /** Cancels the successor, which is no longer needed. */
     private void cancelSuccessor() {
         if (mSuccessor != null) {
             mForwarding.onSuccessorDiscarded();
@@ -512,7 +508,7 @@
         }
     }
 
-    /** Wants nothing more of an answer, and keeps what a cut has to tell of it. */
+    /** Cancels an answer and keeps what the log line of a cut says about it. */
     private void abandon(TargetAnswer answer) {
         mSilenceDetector.stop();
         answer.cancel();
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/ExchangeLog.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/ExchangeLog.java
@@ -27,7 +27,7 @@
 import org.quilldyke.routing.ReportOrigin;
 import org.quilldyke.routing.TargetSelector;
 
-/** The log lines of one request: where it was sent and why, and what became of it. */
+/** Writes the log lines of one request: where it was sent and why, and its outcome. */
 final class ExchangeLog {
     private final EventLog mLog;
 
@@ -35,7 +35,7 @@
         mLog = log;
     }
 
-    /** A target was chosen: what the choice rests on. */
+    /** A target was chosen; logs the data that the choice is based on. */
     void routed(
             ForwardRequest request,
             Step.Send send,
@@ -108,12 +108,12 @@
     }
 
     /**
-     * An answer was passed on whole.
+     * An answer was relayed completely.
      *
-     * @param request its id
-     * @param status as the target gave it
-     * @param choice whose answer it is
-     * @param firstEventMillis from the last sending to the first event, -1 if it isn't a stream
+     * @param request the request's id
+     * @param status the status of the target's answer
+     * @param choice the target that answered
+     * @param firstEventMillis from the last attempt to the first event, -1 if it isn't a stream
      * @param longestPauseMillis the longest time between two events
      * @param lastEvent the number of the last event, -1 for none
      * @param millis from the request's arrival to the end
@@ -179,10 +179,10 @@
     /**
      * An answer was cut.
      *
-     * @param request what was asked for
-     * @param cut what was decided
-     * @param abandoned the run that was left last
-     * @param state what the decision rests on
+     * @param request the request
+     * @param cut the decision
+     * @param abandoned the run that was abandoned last
+     * @param state the state that the decision is based on
      */
     void cut(ForwardRequest request, Step.Abort cut, AbandonedRun abandoned, CutState state) {
         mLog.write(
@@ -224,25 +224,25 @@
     }
 
     /**
-     * A run that was left, whole or not.
+     * A run that was abandoned, complete or not.
      *
      * @param target its target
-     * @param silentMillis how long before the target was last heard on it
-     * @param abandonedAt when it was left
+     * @param silentMillis time since its last data, when it was abandoned
+     * @param abandonedAt when it was abandoned
      */
     record AbandonedRun(String target, long silentMillis, long abandonedAt) {}
 
     /**
-     * What stood when an answer was cut.
+     * The state in which an answer was cut.
      *
      * @param now the time of the cut
-     * @param lastEvent the last event that was passed on
-     * @param runs at how many targets it may have run
-     * @param retriesLeft second attempts that the service had left
+     * @param lastEvent the number of the last event that was relayed
+     * @param runs the number of targets at which the request may have run
+     * @param retriesLeft the retries left in the service's budget
      * @param confirmationAgeMillis time since the configuration was confirmed
-     * @param versionAtStart the configuration in force when the request came
-     * @param version the configuration in force at the cut
-     * @param drainMillis time since the instance was told to shut down; empty if it wasn't
+     * @param versionAtStart the version of the configuration when the request arrived
+     * @param version the version of the configuration at the cut
+     * @param drainMillis time since the start of the shutdown; empty if there is none
      */
     record CutState(
             long now,
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/HopByHopHeaders.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/HopByHopHeaders.java
@@ -25,7 +25,7 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** The headers that concern one connection only and are never passed on (RFC 9110, 7.6.1). */
+/** The headers that apply to one connection only and are never forwarded (RFC 9110, 7.6.1). */
 final class HopByHopHeaders {
     private static final Set<String> NAMES =
             Set.of(
@@ -44,10 +44,10 @@
     private HopByHopHeaders() {}
 
     /**
-     * Returns the headers that are passed on.
+     * Returns the headers that are forwarded.
      *
-     * @param headers those of the message that came
-     * @param isExcluded names of others that aren't passed on
+     * @param headers those of the received message
+     * @param isExcluded selects the names of others that aren't forwarded
      */
     static HttpHeaders endToEnd(HttpHeaders headers, Predicate<String> isExcluded) {
         HttpHeaders endToEnd = new DefaultHttpHeaders();
@@ -61,7 +61,7 @@
         return endToEnd;
     }
 
-    /** Returns the names, in lower case, that a message's headers make hop-by-hop. */
+    /** Returns the names of a message's hop-by-hop headers, in lower case. */
     private static Set<String> hopByHopNames(HttpHeaders headers) {
         List<String> connectionValues = headers.getAll(HttpHeaderNames.CONNECTION);
         if (connectionValues.isEmpty()) {
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/RequestAdmission.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/RequestAdmission.java
@@ -28,22 +28,22 @@
 import org.quilldyke.manifest.Route;
 import org.quilldyke.manifest.RouteTable;
 
-/** Makes a request to be forwarded of what a caller sent, if the configuration allows it. */
+/** Parses a caller's request and checks that the configuration allows it. */
 final class RequestAdmission {
-    /** Unrun requests that a later moment may serve come back after this, if not told otherwise. */
+    /** Retry delay of requests that are refused for lack of a confirmed configuration. */
     static final long UNCONFIRMED_RETRY_MILLIS = 800;
 
     private RequestAdmission() {}
 
     /**
-     * Returns what is asked for.
+     * Returns the request to forward.
      *
-     * @param entry whose configuration decides
-     * @param head what the caller sent
-     * @param body its body, which is left unread
+     * @param entry holds the configuration
+     * @param head the head of the caller's request
+     * @param body its body, whose reader index stays
      * @param arrivedAt when it was read, in milliseconds of the entry's clock
-     * @throws QuilldykeException if the configuration isn't known or confirmed, the route or the
-     *     key isn't in it, or the head can't be read; nothing has run then
+     * @throws QuilldykeException if the configuration isn't known or confirmed, or holds no such
+     *     route or key, or if the head can't be parsed; nothing has run then
      */
     static ForwardRequest admit(EntryContext entry, HttpRequest head, ByteBuf body, long arrivedAt)
             throws QuilldykeException {
@@ -55,9 +55,9 @@
         CallerFacts facts = entry.dialect().callers().read(head);
         String path = head.uri().split("[?#]", 2)[0];
         Optional<Route> found = routes.route(head.headers().get(HttpHeaderNames.HOST), path);
-        boolean open =
+        boolean anonymousAllowed =
                 found.isPresent() && (found.get().allowsAnonymous() || !routes.requiresKeys());
-        if (!open && !entry.isConfigurationConfirmed()) {
+        if (!anonymousAllowed && !entry.isConfigurationConfirmed()) {
             throw unconfirmed();
         }
         if (found.isEmpty()) {
@@ -65,7 +65,7 @@
         }
         Route route = found.get();
         Optional<Organisation> owner = facts.key().flatMap(routes::organisationOfKey);
-        if (!open && owner.isEmpty()) {
+        if (!anonymousAllowed && owner.isEmpty()) {
             throw denied(entry, ResultCode.UNKNOWN_TOKEN, "");
         }
         long timeoutMillis =
@@ -84,7 +84,10 @@
                 facts.lastEvent().orElse(-1));
     }
 
-    /** What isn't here may have been added meanwhile, and no caller comes back after a denial. */
+    /**
+     * Returns the denial of an unknown path or key. Callers don't retry after it, so it needs a
+     * current configuration: the path or key may have been added meanwhile.
+     */
     private static QuilldykeException denied(EntryContext entry, ResultCode code, String detail) {
         return entry.isConfigurationCurrent()
                 ? QuilldykeException.notRun(code, detail)
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/SilenceDetector.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/SilenceDetector.java
@@ -20,9 +20,9 @@
 import java.util.function.LongConsumer;
 import org.quilldyke.caller.RestartReport;
 
-/** Looks, and looks again, whether the target of an answer has been silent for too long. */
+/** Checks repeatedly whether the target of an answer has been silent for too long. */
 final class SilenceDetector {
-    /** How long after a look that found silence the next one comes. */
+    /** Interval between checks once the target is silent. */
     private static final long RECHECK_MILLIS = 200;
 
     private final EntryContext mEntry;
@@ -31,21 +31,21 @@
     private TargetAnswer mAnswer;
     private long mMaxSilenceMillis;
 
-    /** The word that the target has started again, null if it isn't told or has proved wrong. */
+    /** The report that the target has restarted; null if there is none or it was refuted. */
     private RestartReport mRestartReport;
 
     /**
-     * Makes a watch that watches nothing yet.
+     * Creates a detector that monitors no answer yet.
      *
-     * @param entry whose thread and clock are used
-     * @param onSilent told at each look that finds silence, with its milliseconds
+     * @param entry provides the thread and the clock
+     * @param onSilent receives the milliseconds of silence at each check that exceeds the limit
      */
     SilenceDetector(EntryContext entry, LongConsumer onSilent) {
         mEntry = entry;
         mOnSilent = onSilent;
     }
 
-    /** Watches an answer instead of what was watched before; never silent for that long: not. */
+    /** Monitors an answer instead of the previous one; not at all for {@link Long#MAX_VALUE}. */
     void start(TargetAnswer answer, long maxSilenceMillis) {
         stop();
         mAnswer = answer;
@@ -54,7 +54,7 @@
         scheduleNextCheck();
     }
 
-    /** Notes that the answer's target is said to have started again: silence tells more now. */
+    /** Shortens the time-out, since the target is reported to have restarted. */
     void onRestartReported() {
         stop();
         mRestartReport = new RestartReport(mEntry.now());
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Returns when the target has been silent for too long if it isn't heard before. */
+    /** Returns when the target will have been silent for too long if nothing arrives before. */
     private long silenceTimeoutAt() {
         long lastHeardAt = mAnswer.lastHeardAt();
         if (mRestartReport != null && mRestartReport.isRefuted(lastHeardAt)) {
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/TargetAnswer.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/TargetAnswer.java
@@ -33,9 +33,9 @@
 import org.quilldyke.routing.AdvertisedLimit;
 import org.quilldyke.routing.Choice;
 
-/** What one target sends for a request, read for the {@link Exchange} that asked it. */
+/** Reads the answer of one target and reports it to the {@link Exchange} that sent the request. */
 final class TargetAnswer implements AttemptListener {
-    /** An answer that isn't a stream is held whole; larger ones are taken for spoiled. */
+    /** Answers that aren't streams are buffered in full; larger ones are rejected. */
     private static final int MAX_ANSWER_BYTES = 16 << 20;
 
     private static final int MAX_EVENT_BYTES = 1 << 20;
@@ -55,7 +55,7 @@
     private long mSentAt;
     private long mLastHeardAt;
 
-    /** When its last event came; the next one tells no pace if there was none, or a pause. */
+    /** When the last event arrived; {@link #NO_EVENT} at the start and after a pause in reading. */
     private long mLastEventAt = NO_EVENT;
 
     TargetAnswer(
@@ -79,7 +79,7 @@
                 mEntry.pool().send(mChoice.target(), mChoice.address(), out, mRequest.id(), this);
     }
 
-    /** Wants no more of the answer; the target learns it by a closed connection. */
+    /** Cancels the attempt; the target notices by the closed connection. */
     void cancel() {
         if (mAttempt != null) {
             mAttempt.cancel();
@@ -88,7 +88,7 @@
         releaseBuffers();
     }
 
-    /** Pauses or resumes the reading: while the caller doesn't read, no silence is the target's. */
+    /** Pauses or resumes reading; a pause doesn't count as silence of the target. */
     void setReading(boolean reading) {
         mLastHeardAt = mEntry.now();
         mLastEventAt = NO_EVENT;
@@ -110,12 +110,12 @@
         return mSentAt;
     }
 
-    /** Returns when the target was heard last on this request, or else was chosen. */
+    /** Returns when the target last sent data for this request, or else was chosen. */
     long lastHeardAt() {
         return mLastHeardAt;
     }
 
-    /** Returns whether the target says that it runs the request, or has run it. */
+    /** Returns whether the answer says that the target runs the request or has run it. */
     boolean hasStartedRun() {
         return mFacts != null && !mFacts.head().isNotRun();
     }
@@ -133,7 +133,7 @@
         return HopByHopHeaders.endToEnd(mHead.headers(), name -> false);
     }
 
-    /** Returns the whole body of an answer that isn't a stream; the caller releases it. */
+    /** Returns the body of an answer that isn't a stream; the caller releases it. */
     ByteBuf takeBody() {
         ByteBuf body = mBody;
         mBody = null;
@@ -158,13 +158,13 @@
         mHead = head;
         mFacts = mEntry.dialect().targets().read(head);
         if (!answerHead().wrongTarget()) {
-            // Else somebody else may have answered: no sign that this target is there.
+            // Otherwise another process may have answered, which is no sign of life of this target.
             recordLiveness();
         }
         recordWeights();
         recordLimit();
         if (head.headers().contains(HttpHeaderNames.CONTENT_ENCODING)) {
-            fail(ResultCode.ANSWER_SPOILED, "encoded");
+            fail(ResultCode.ANSWER_SPOILED, "encoded content");
         } else if (answerHead().isNotRun()) {
             mAttempt.ignoreRest();
             closeAttempt();
@@ -192,7 +192,7 @@
     @Override
     public void onComplete() {
         if (!isFramed()) {
-            // Its end looks like that of its target.
+            // Without framing, the end of the answer can't be told from the end of the target.
             onRunLost();
         } else if (answerHead().isSuccess() && answerHead().isGenuine()) {
             mEntry.crashDetector().onRunCompleted(mRequest.fingerprint());
@@ -218,7 +218,7 @@
         mExchange.onFailed(this, code, reason);
     }
 
-    /** Takes the answer for none, and says so. */
+    /** Cancels the attempt and reports it as failed. */
     void fail(ResultCode code, String reason) {
         cancel();
         mExchange.onFailed(this, code, reason);
@@ -267,7 +267,7 @@
         }
     }
 
-    /** Only who has run a request says by naming no limit that there is none. */
+    /** A missing limit means that there is none only in the answer to a request that has run. */
     private void recordLimit() {
         LimitFact limit = mFacts.limit();
         if (limit.isRead() && (limit.perSecond().isPresent() || hasRun())) {
@@ -280,7 +280,7 @@
         return answerHead().isGenuine() && !answerHead().isNotRun();
     }
 
-    /** The attempt is over, whatever became of it. */
+    /** Ends the attempt, whatever its outcome. */
     private void closeAttempt() {
         if (mAttempt != null) {
             mAttempt = null;
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/TargetRequests.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/TargetRequests.java
@@ -28,18 +28,18 @@
 import org.quilldyke.gateway.dialect.Dialect;
 import org.quilldyke.manifest.Organisation;
 
-/** Makes what a target is sent of what a caller sent. */
+/** Creates the requests that are sent to targets. */
 final class TargetRequests {
     private TargetRequests() {}
 
     /**
-     * Returns the request for one attempt: method, path and body as they came, and the headers but
-     * for those of the caller's connection and those that only the system sets.
+     * Returns the request for one attempt: the caller's method, path and body, and its headers
+     * except hop-by-hop ones and those that only this system sets.
      *
-     * @param dialect how callers and targets speak
-     * @param head what the caller sent
-     * @param body the caller's body; the request holds a reference of its own to it
-     * @param request what the head says
+     * @param dialect the wire formats of callers and targets
+     * @param head the head of the caller's request
+     * @param body its body, of which the new request retains a duplicate
+     * @param request the parsed request
      * @param send the attempt
      */
     static FullHttpRequest of(
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/package-info.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/package-info.java
@@ -13,5 +13,5 @@
  * See the License for the specific language governing permissions and
  * limitations under the License.
  */
-/** Callers: their connections, their requests, and the answers that they get. */
+/** Callers' connections and requests, and the answers that are relayed to them. */
 package org.quilldyke.gateway.caller;
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/Attempt.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/Attempt.java
@@ -17,7 +17,7 @@
 
 import io.netty.handler.codec.http.FullHttpRequest;
 
-/** A request on its way to a target. */
+/** One sending of a request to a target. */
 public final class Attempt {
     private final FullHttpRequest mRequest;
     private final String mRequestId;
@@ -31,9 +31,7 @@
         mListener = listener;
     }
 
-    /**
-     * Gives up: nothing is heard of it any more, and the target learns it by a closed connection.
-     */
+    /** Cancels the attempt: its listener is called no more, and its connection is closed. */
     public void cancel() {
         mCancelled = true;
         mListener = NoOpAttemptListener.INSTANCE;
@@ -44,12 +42,12 @@
         }
     }
 
-    /** Wants no more of the answer, which is short or at its end; the connection stays of use. */
+    /** Ignores the rest of the answer, which is short; the connection can be used again. */
     public void ignoreRest() {
         mListener = NoOpAttemptListener.INSTANCE;
     }
 
-    /** Pauses or resumes the reading of the answer. */
+    /** Pauses or resumes reading of the answer. */
     public void setReading(boolean reading) {
         if (mConnection != null) {
             mConnection.setReading(this, reading);
@@ -60,7 +58,7 @@
         return mRequest;
     }
 
-    /** Returns the id that the answer must bear, empty if none. */
+    /** Returns the request id that the answer must carry, empty if none. */
     String requestId() {
         return mRequestId;
     }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/AttemptListener.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/AttemptListener.java
@@ -19,23 +19,23 @@
 import io.netty.handler.codec.http.HttpResponse;
 import org.quilldyke.ResultCode;
 
-/** Hears what becomes of a request that was sent to a target. Called on the traffic thread. */
+/** Receives the outcome of an attempt. Called on the traffic thread. */
 public interface AttemptListener {
-    /** The target couldn't be reached; no byte of the request was sent. */
+    /** The target was unreachable; no byte of the request was sent. */
     void onUnsent(String reason);
 
     /** The first byte is about to be sent. */
     void onSending();
 
-    /** The head of the answer is here. */
+    /** The head of the answer has arrived. */
     void onHead(HttpResponse head);
 
-    /** A part of the answer's body is here; the caller releases it. */
+    /** A part of the answer's body has arrived; the caller releases it. */
     void onBody(ByteBuf bytes);
 
-    /** The answer is whole. */
+    /** The answer is complete. */
     void onComplete();
 
-    /** The answer broke off, never came, or can't be what was asked for; nothing else follows. */
+    /** The answer was broken off, is missing or invalid; no other call follows. */
     void onFailed(ResultCode code, String reason);
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/EngineClient.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/EngineClient.java
@@ -35,16 +35,16 @@
 import org.quilldyke.weights.EngineStatus;
 import org.quilldyke.weights.OrderOutcome;
 
-/** Asks engines for their status and gives them orders. Safe for use by several threads. */
+/** Requests the status of engines and sends orders to them. Safe for use by several threads. */
 public final class EngineClient {
     /**
-     * An engine in reach answers within some 10 ms. An order without an answer may be carried out
-     * seconds later, and the engine serves nothing until it is given again; the revision that it
-     * expects keeps it from being carried out twice.
+     * A reachable engine answers within about 10 ms. An order without an answer may be carried out
+     * seconds later, and the engine serves nothing until it is sent again; the revision that the
+     * order expects prevents a second execution.
      */
     private static final long TIMEOUT_MILLIS = 300;
 
-    /** Calls for cache events wait for less than half a second; the rest is for the way. */
+    /** Engines hold calls for cache events for less than 500 ms; the rest is for the network. */
     private static final long CACHE_TIMEOUT_MILLIS = 800;
 
     private static final int MAX_BODY_BYTES = 1 << 20;
@@ -66,9 +66,9 @@
      * Returns a client.
      *
      * @param loop the traffic thread, which does the work
-     * @param dialect how engines speak
+     * @param dialect the engines' wire format
      * @param clock monotonic milliseconds
-     * @param refusals takes notice of answers that can't be read
+     * @param refusals records answers that can't be parsed
      */
     public static EngineClient create(
             EventLoop loop, TargetDialect dialect, LongSupplier clock, RefusalLog refusals) {
@@ -76,7 +76,9 @@
     }
 
     /**
-     * Asks for an engine's status; {@code done} hears it on the traffic thread, or that none came.
+     * Requests an engine's status.
+     *
+     * @param callback receives it on the traffic thread, empty if there is no valid answer
      */
     public void requestStatus(String address, Consumer<Optional<EngineStatus>> callback) {
         send(
@@ -88,7 +90,7 @@
                                 status == 200 ? readStatus(address, body) : Optional.empty()));
     }
 
-    /** Gives an order; {@code done} hears on the traffic thread what became of it. */
+    /** Sends an order; {@code callback} receives its outcome on the traffic thread. */
     public void sendOrder(String address, LoadOrder order, Consumer<OrderOutcome> callback) {
         send(
                 address,
@@ -98,8 +100,9 @@
     }
 
     /**
-     * Waits for changes in the cache of an engine or a store; {@code done} hears them on the
-     * traffic thread, or that no answer came.
+     * Waits for changes in the cache of an engine or a store.
+     *
+     * @param callback receives them on the traffic thread, empty if there is no valid answer
      */
     public void pollCacheEvents(
             String address, long since, Consumer<Optional<CacheEvents>> callback) {
@@ -161,7 +164,7 @@
         mLoop.execute(() -> new Call(address, request, timeoutMillis, callback));
     }
 
-    /** One call; its end is told once, with status 0 if there was no answer. */
+    /** One call; its callback is called once, with status 0 if there was no answer. */
     private final class Call implements AttemptListener {
         private final BiConsumer<Integer, byte[]> mCallback;
         private final Attempt mAttempt;
@@ -187,7 +190,7 @@
 
         @Override
         public void onSending() {
-            // Nothing depends on it.
+            // Not needed.
         }
 
         @Override
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/NoOpAttemptListener.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/NoOpAttemptListener.java
@@ -19,7 +19,7 @@
 import io.netty.handler.codec.http.HttpResponse;
 import org.quilldyke.ResultCode;
 
-/** Takes no notice of an attempt that was given up. */
+/** Ignores the outcome of a cancelled attempt, or the rest of an answer. */
 final class NoOpAttemptListener implements AttemptListener {
     static final NoOpAttemptListener INSTANCE = new NoOpAttemptListener();
 
@@ -27,31 +27,31 @@
 
     @Override
     public void onUnsent(String reason) {
-        // Given up before.
+        // Ignored.
     }
 
     @Override
     public void onSending() {
-        // Given up before.
+        // Ignored.
     }
 
     @Override
     public void onHead(HttpResponse head) {
-        // Given up before.
+        // Ignored.
     }
 
     @Override
     public void onBody(ByteBuf bytes) {
-        // Given up before.
+        // Ignored.
     }
 
     @Override
     public void onComplete() {
-        // Given up before.
+        // Ignored.
     }
 
     @Override
     public void onFailed(ResultCode code, String reason) {
-        // Given up before.
+        // Ignored.
     }
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/RefusalLog.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/RefusalLog.java
@@ -28,8 +28,9 @@
 import org.quilldyke.daemon.log.LineLimit;
 
 /**
- * Counts what targets say that can't be taken, by where it was said and why, and logs some of it: a
- * flood fills no disk and hides nothing else. Safe for use by several threads.
+ * Counts invalid reports and answers of targets and other refused calls by source and reason, and
+ * logs them at a limited rate: a flood neither fills the disk nor hides other events. Safe for use
+ * by several threads.
  */
 public final class RefusalLog {
     private static final int MAX_LINES = 5;
@@ -59,40 +60,40 @@
     }
 
     /**
-     * Returns an account without entries.
+     * Returns a log without refusals.
      *
      * @param metrics where {@code news-refused.SOURCE.CODE} and {@code calls-refused.CODE} are
      *     counted
-     * @param log where events go
+     * @param log receives events
      * @param clock monotonic milliseconds
      */
     public static RefusalLog create(MetricRegistry metrics, EventLog log, LongSupplier clock) {
         return new RefusalLog(metrics, log, clock);
     }
 
-    /** Returns whether a refusal concerns what a target says, and not an operator's call. */
+    /** Returns whether a code stands for an invalid report of a target, not an operator's call. */
     public static boolean isReportError(ResultCode code) {
         return REPORT_ERRORS.contains(code);
     }
 
     /**
-     * Takes notice of one piece of news that was refused.
+     * Records an invalid report or answer.
      *
-     * @param source where it was said
-     * @param sender who said it, as far as known
-     * @param error the refusal
+     * @param source the kind of message
+     * @param sender the sender, as far as known
+     * @param error the reason
      */
     public void onRefused(Source source, String sender, QuilldykeException error) {
         onRefused(source, sender, error.code(), 1, String.valueOf(error.getMessage()));
     }
 
-    /** Takes notice of events of a cache that were left out. */
+    /** Records cache events that were skipped. */
     public void onEventsSkipped(String sender, int count) {
         ResultCode code = ResultCode.REPORT_EVENT;
         onRefused(Source.CACHE, sender, code, count, code.label() + ' ' + code.meaning());
     }
 
-    /** Takes notice of a call that was refused for another reason; {@code event} tells of it. */
+    /** Records a call that was refused for another reason, logged as {@code event}. */
     public void onCallRefused(Event event, String path, QuilldykeException error) {
         String code = error.code().label();
         mMetrics.counter("calls-refused." + code).inc();
@@ -138,26 +139,26 @@
         return mLineLimit.admit(kind, mClock.getAsLong());
     }
 
-    /** What others wrote shall neither end a line nor be one that has no end. */
+    /** Keeps text from others from ending a log line or making it too long. */
     private static String printable(String text) {
         String prefix =
                 text.length() <= MAX_TEXT_CHARS ? text : text.substring(0, MAX_TEXT_CHARS) + "...";
         return prefix.replaceAll("\\p{Cntrl}", "?");
     }
 
-    /** Where something was said. */
+    /** The kind of message that was refused. */
     public enum Source {
-        /** A target's report of itself. */
+        /** A target's report on itself. */
         REPORT,
-        /** An engine's answer to the question for its status. */
+        /** An engine's answer to a status request. */
         STATUS,
         /** An engine's answer to an order. */
         ORDER,
-        /** Events of what an engine or a store keeps. */
+        /** Cache events of an engine or a store. */
         CACHE,
-        /** What another instance passed on. */
+        /** A message that another instance forwarded. */
         INSTANCE,
-        /** What the process itself had stored. */
+        /** A record that the process itself had stored. */
         MEMORY
     }
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/TargetConnection.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/TargetConnection.java
@@ -35,15 +35,18 @@
 /**
  * One connection to a target, which carries one request at a time.
  *
- * <p>Strict, since targets may break off answers, send more than one, or send a late one where the
- * next is due: an answer counts only if it is framed, whole and bears the request's id. Bytes that
- * no request waits for end the connection.
+ * <p>Strict, since targets may break off answers, send more than one, or send a late one in place
+ * of the next: an answer is accepted only if it is framed and complete and carries the request's
+ * id. Unsolicited bytes close the connection.
  */
 final class TargetConnection extends ChannelInboundHandlerAdapter {
-    /** How long a connection is kept for which the target names no time; a usual server's least. */
+    /**
+     * How long an idle connection is kept if the target names no time; common servers keep theirs
+     * at least as long.
+     */
     private static final long DEFAULT_IDLE_MILLIS = 4000;
 
-    /** A kept connection isn't used this close to its end, so that requests don't cross it. */
+    /** Time before the target's close in which no request is sent, so that none crosses it. */
     private static final long IDLE_MARGIN_MILLIS = 700;
 
     private static final Pattern KEEP_ALIVE_TIMEOUT = Pattern.compile("timeout\\s*=\\s*(\\d{1,6})");
@@ -74,7 +77,7 @@
         mWriteFuture = mContext.writeAndFlush(attempt.request());
     }
 
-    /** Waits for its first request. */
+    /** Adds the connection to the pool, to wait for its first request. */
     void addToPool() {
         mUsableUntil = mPool.now() + mIdleMillis;
         mPool.onFree(this);
@@ -127,7 +130,7 @@
             mListenerFailed = true;
             mPool.onInternalError(cause);
         }
-        // A reset: what was read so far may not be whole, whatever its framing says.
+        // A reset: the answer may be incomplete, even if its framing says otherwise.
         mConnectionFailed = true;
         ctx.close();
     }
@@ -138,7 +141,8 @@
         mAttempt = null;
         mPool.onClosed(this);
         if (attempt != null) {
-            String error = mListenerFailed ? "a fault of this instance" : "reset";
+            String error =
+                    mListenerFailed ? "an internal fault of this instance" : "connection reset";
             attempt.listener()
                     .onFailed(
                             ResultCode.TARGET_LOST,
@@ -152,7 +156,7 @@
             return;
         }
         if (object.decoderResult().isFailure()) {
-            fail("no HTTP: " + object.decoderResult().cause());
+            fail("malformed HTTP: " + object.decoderResult().cause());
             return;
         }
         if (object instanceof HttpResponse head) {
@@ -171,7 +175,7 @@
         String id = mDialect.read(head).requestId();
         boolean mismatched = !id.isEmpty() && !id.equals(mAttempt.requestId());
         if (mismatched) {
-            // A late answer to an earlier request; ours may follow.
+            // A late answer to an earlier request; the expected one may follow.
             mReadState = ReadState.SKIPPING_ANSWER;
             mNotReusable = true;
             return;
@@ -195,7 +199,7 @@
             return;
         }
         if (mConnectionFailed) {
-            // The end was only that of the connection.
+            // The answer ended only because the connection did.
             return;
         }
         finish();
@@ -215,7 +219,8 @@
     }
 
     /**
-     * The target may have answered before it has read all; it gets the rest before anything else.
+     * The target may have answered before it has read the whole request, so the rest of it is
+     * written before the connection is used again.
      */
     private void releaseWhenWritten() {
         mWriteFuture.addListener(
@@ -251,11 +256,11 @@
                 || status == 304;
     }
 
-    /** Which part of an answer is due. */
+    /** What is read next. */
     private enum ReadState {
         AWAITING_HEAD,
         READING_BODY,
-        /** The rest of an answer that isn't the one waited for. */
+        /** The rest of an answer to another request, or of an informational one. */
         SKIPPING_ANSWER
     }
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/TargetConnectionPool.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/TargetConnectionPool.java
@@ -39,9 +39,9 @@
 import org.quilldyke.engine.SocketAddresses;
 import org.quilldyke.gateway.dialect.TargetDialect;
 
-/** Connections to targets, kept for the next request. Lives on the traffic thread. */
+/** Connections to targets, reused for later requests. Used on the traffic thread. */
 public final class TargetConnectionPool {
-    /** A target in reach accepts within a few milliseconds; one that is dark never does. */
+    /** A reachable target accepts within a few milliseconds, an unreachable one never. */
     private static final int CONNECT_TIMEOUT_MILLIS = 300;
 
     private static final int MAX_HEADER_BYTES = 64 << 10;
@@ -64,7 +64,7 @@
      * Returns a pool without connections.
      *
      * @param loop the traffic thread
-     * @param dialect how targets speak
+     * @param dialect the targets' wire format
      * @param clock monotonic milliseconds
      */
     public static TargetConnectionPool create(
@@ -73,12 +73,12 @@
     }
 
     /**
-     * Returns a pool without connections that tells what becomes of them.
+     * Returns a pool without connections that notifies a listener.
      *
      * @param loop the traffic thread
-     * @param dialect how targets speak
+     * @param dialect the targets' wire format
      * @param clock monotonic milliseconds
-     * @param listener hears what becomes of connections
+     * @param listener is notified of changes and errors of connections
      */
     public static TargetConnectionPool create(
             EventLoop loop, TargetDialect dialect, LongSupplier clock, Listener listener) {
@@ -89,10 +89,10 @@
      * Sends a request to a target.
      *
      * @param target the target's id: a connection is never used for another one at the same address
-     * @param address where it takes requests
-     * @param request the request; released when it is written or given up
-     * @param requestId the id that the answer must bear, empty if none
-     * @param listener hears what becomes of it
+     * @param address the address at which it accepts requests
+     * @param request the request; released when it is written or cancelled
+     * @param requestId the id that the answer must carry, empty if none
+     * @param listener receives the outcome
      */
     public Attempt send(
             String target,
@@ -113,8 +113,8 @@
     }
 
     /**
-     * Finds out whether a target still takes connections, if none to it is open; one that is made
-     * is kept for the next request.
+     * Checks whether a target still accepts connections, unless one to it is open; a connection
+     * that is made is kept for the next request.
      */
     public void probe(String target) {
         PerTargetPool pool = mPoolsByTarget.get(target);
@@ -123,7 +123,7 @@
         }
     }
 
-    /** Closes the connections to a target that is gone, as soon as they are free. */
+    /** Closes the connections to a removed target, each as soon as it is free. */
     public void removeTarget(String target) {
         PerTargetPool pool = mPoolsByTarget.remove(target);
         if (pool != null) {
@@ -131,12 +131,12 @@
         }
     }
 
-    /** Returns the number of connections that are open, free or not. */
+    /** Returns the number of open connections, in use or free. */
     public int connections() {
         return mPoolsByTarget.values().stream().mapToInt(pool -> pool.mOpen.size()).sum();
     }
 
-    /** Closes connections that were idle for too long. */
+    /** Closes connections that have been idle for too long. */
     public void closeIdle() {
         mPoolsByTarget.values().forEach(PerTargetPool::closeIdle);
     }
@@ -167,7 +167,7 @@
             mListener.onInternalError(fault);
         }
 
-        /** Returns the free connection that was used last, or null. */
+        /** Returns the free connection that was used most recently, or null. */
         TargetConnection takeFree() {
             TargetConnection connection = mFree.pollFirst();
             while (connection != null && !connection.isUsable(now())) {
@@ -180,7 +180,7 @@
 
         void connect(Attempt attempt) {
             if (!SocketAddresses.isIpAndPort(mAddress)) {
-                // The listener hears nothing before it knows its attempt.
+                // Deferred: the listener must not be called before send() has returned the attempt.
                 mLoop.execute(() -> failUnsent(attempt, "not IP:port: " + mAddress));
                 return;
             }
@@ -215,7 +215,10 @@
             return bootstrap(connection).connect(address);
         }
 
-        /** Whoever doesn't answer at all may be cut off; whoever refuses has nobody listening. */
+        /**
+         * Reports a refused connection, since no process listens there. A target whose connection
+         * timed out may only be cut off by the network.
+         */
         private void notifyIfRefused(Throwable cause) {
             if (cause instanceof ConnectException && !(cause instanceof ConnectTimeoutException)) {
                 mListener.onConnectionRefused(mTarget);
@@ -307,15 +310,15 @@
                 .setUseRfc9112TransferEncoding(true);
     }
 
-    /** Hears what becomes of connections, on the traffic thread. */
+    /** Is notified of changes and errors of connections, on the traffic thread. */
     public interface Listener {
-        /** What a listener of an attempt has thrown, which ends its connection. */
+        /** The listener of an attempt has thrown an exception, which closes its connection. */
         default void onInternalError(Throwable fault) {}
 
-        /** So many connections to a target are free now. */
+        /** The number of free connections to a target has changed. */
         default void onFreeConnections(String target, int free) {}
 
-        /** Nobody listens at a target's address. */
+        /** A target's address refuses connections: no process listens there. */
         default void onConnectionRefused(String target) {}
     }
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/package-info.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/package-info.java
@@ -14,7 +14,7 @@
  * limitations under the License.
  */
 /**
- * Engines and services, the targets: connections that are kept to them, and the requests and orders
- * sent there.
+ * Connections to targets, which are engines and services, and the requests and orders that are sent
+ * over them.
  */
 package org.quilldyke.gateway.engine;
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/http/HttpListener.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/http/HttpListener.java
@@ -29,15 +29,15 @@
 import org.quilldyke.ResultCode;
 import org.quilldyke.daemon.settings.Addresses;
 
-/** Binds addresses. */
+/** Binds server sockets for HTTP connections. */
 public final class HttpListener {
-    /** Callers that come all at once after an outage find room here. */
+    /** Holds the callers that all connect at once after an outage. */
     private static final int BACKLOG = 1024;
 
     private HttpListener() {}
 
     /**
-     * Binds an address and takes connections.
+     * Binds an address and accepts connections.
      *
      * @param address {@code IP:port}
      * @param loop the thread that serves the connections
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/http/RequestFraming.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/http/RequestFraming.java
@@ -27,8 +27,8 @@
 import org.quilldyke.ResultCode;
 
 /**
- * Refuses requests whose end is open to doubt: what one reader takes for a body, another might take
- * for a second request (RFC 9112, 11.2).
+ * Refuses requests with ambiguous framing: bytes that one parser reads as a body, another might
+ * read as a second request (request smuggling, RFC 9112, 11.2).
  */
 public final class RequestFraming {
     private RequestFraming() {}
@@ -44,10 +44,10 @@
         HttpHeaders headers = head.headers();
         if (!head.protocolVersion().equals(HttpVersion.HTTP_1_1)
                 && !head.protocolVersion().equals(HttpVersion.HTTP_1_0)) {
-            throw malformed("version " + head.protocolVersion());
+            throw malformed("unsupported version " + head.protocolVersion());
         }
         if (!head.uri().startsWith("/")) {
-            throw malformed("the target is no path");
+            throw malformed("the request target is not a path");
         }
         List<String> hosts = headers.getAll(HttpHeaderNames.HOST);
         if (hosts.size() != 1) {
@@ -59,14 +59,14 @@
             checkCodings(head, codings, lengths);
         }
         if (lengths.size() > 1) {
-            throw malformed("several lengths");
+            throw malformed("several Content-Length headers");
         }
         if (!lengths.isEmpty()) {
             checkLength(lengths.get(0), maxBodyBytes);
         }
     }
 
-    /** Checks what the decoder says of a part of a request. */
+    /** Checks the decoder's result for a part of a request. */
     public static void checkDecoded(DecoderResult result) throws QuilldykeException {
         if (result.isSuccess()) {
             return;
@@ -84,10 +84,10 @@
     private static void checkCodings(HttpRequest head, List<String> codings, List<String> lengths)
             throws QuilldykeException {
         if (!lengths.isEmpty()) {
-            throw malformed("both a length and a transfer coding");
+            throw malformed("both a content length and a transfer coding");
         }
         if (codings.size() != 1 || !codings.get(0).equalsIgnoreCase("chunked")) {
-            throw malformed("transfer coding " + codings);
+            throw malformed("unsupported transfer coding " + codings);
         }
         if (head.protocolVersion().equals(HttpVersion.HTTP_1_0)) {
             throw malformed("a transfer coding in HTTP/1.0");
@@ -96,7 +96,7 @@
 
     private static void checkLength(String length, long maxBodyBytes) throws QuilldykeException {
         if (!length.matches("[0-9]{1,18}")) {
-            throw malformed("length " + length);
+            throw malformed("invalid length " + length);
         }
         if (Long.parseLong(length) > maxBodyBytes) {
             throw QuilldykeException.notRun(ResultCode.BODY_TOO_LARGE, length + " bytes");
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/http/package-info.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/http/package-info.java
@@ -13,5 +13,5 @@
  * See the License for the specific language governing permissions and
  * limitations under the License.
  */
-/** What all of the gateway's HTTP servers share. */
+/** Parts that all HTTP servers of the gateway share. */
 package org.quilldyke.gateway.http;
