--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/caller/EventSplitterTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/caller/EventSplitterTest.java
@@ -42,7 +42,7 @@
                 .inOrder();
     }
 
-    /** However the bytes arrive, the same events come out. */
+    /** The events are the same for all sizes of the chunks in which the bytes arrive. */
     @Property(tries = 40)
     void eventsDoNotDependOnChunkSize(@ForAll @IntRange(min = 1, max = 60) int size) {
         List<EventSplitter.Event> events = split(STREAM, size);
