--- a/quilldyke-core/src/main/java/org/quilldyke/routing/AdvertisedLimit.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/AdvertisedLimit.java
@@ -16,41 +16,41 @@
 package org.quilldyke.routing;
 
 /**
- * What a target said last of the requests that it takes from all instances together.
+ * The latest limit that a target has advertised for requests from all instances together.
  *
- * @param target which
- * @param perSecond requests a second, {@link #NONE} if it names no limit
- * @param receivedAt when it was heard, in milliseconds of this process's clock
+ * @param target the target's id
+ * @param perSecond requests per second, {@link #NONE} if it advertises no limit
+ * @param receivedAt when it was received, in milliseconds of this process's clock
  */
 public record AdvertisedLimit(String target, double perSecond, long receivedAt) {
-    /** Stands for no limit. */
+    /** No limit. */
     public static final double NONE = Double.POSITIVE_INFINITY;
 
-    /** A limit holds for so long after it was heard last anywhere. */
+    /** A limit is in force for this long after any instance last received it. */
     static final long VALID_MILLIS = 60_000;
 
-    /** A limit that is heard again is told this often. */
+    /** An unchanged limit that is received again is published at this interval. */
     static final long REPUBLISH_INTERVAL_MILLIS = 20_000;
 
-    /** Limits that differ by less than this part are told as one. */
+    /** Limits that differ by no more than this share of the published one count as unchanged. */
     private static final double SIGNIFICANT_CHANGE = 0.2;
 
-    /** Returns that a target has said nothing yet. */
+    /** Returns the state of a target that hasn't advertised anything yet. */
     static AdvertisedLimit unknown(String target) {
         return new AdvertisedLimit(target, NONE, Long.MIN_VALUE / 2);
     }
 
-    /** Returns whether it names a limit. */
+    /** Returns whether the target advertises a limit. */
     public boolean isSet() {
         return perSecond != NONE;
     }
 
-    /** Returns whether it limits the target at {@code now}. */
+    /** Returns whether the target is limited at {@code now}. */
     boolean isInForce(long now) {
         return isSet() && now - receivedAt < VALID_MILLIS;
     }
 
-    /** Returns whether others should hear of it who know an earlier word of the target. */
+    /** Returns whether it should be sent to others that know an earlier limit of the target. */
     public boolean shouldPublishAfter(AdvertisedLimit published) {
         double difference = Math.abs(perSecond - published.perSecond);
         return isSet() != published.isSet()
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/CacheKeys.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/CacheKeys.java
@@ -19,11 +19,11 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 import org.quilldyke.caller.Prompt;
 
-/** Short keys for cached parts of prompts, and for where requests for one subject belong. */
+/** Hash keys of cached prompt parts, and of the prefixes by which requests are routed. */
 public final class CacheKeys {
     private CacheKeys() {}
 
-    /** Returns the key of a part that is kept under a salt. */
+    /** Returns the key of a prompt part that is cached under a salt. */
     public static long of(String salt, long part) {
         return Hashing.wyhashFinal4().hashStream().putString(salt).putLong(part).getAsLong();
     }
@@ -33,7 +33,7 @@
         return prompt.parts().stream().mapToLong(part -> of(salt, part.id())).toArray();
     }
 
-    /** Returns a key of all shared parts, by which requests for one subject are told. */
+    /** Returns a key of all shared parts, which identifies requests with the same shared prefix. */
     public static long sharedPrefixKey(Prompt prompt) {
         HashStream64 hash = Hashing.wyhashFinal4().hashStream();
         prompt.sharedParts().forEach(part -> hash.putLong(part.id()));
@@ -41,15 +41,16 @@
     }
 
     /**
-     * Returns the key by which prompts are kept together that lack the same part: the shared parts
-     * up to the first one that isn't held. Weights don't count, so that a subject stays where it is
-     * when they change.
+     * Returns the key that selects the preferred target of prompts that lack the same part: it
+     * covers the shared parts up to and including the first one that isn't held. The version of the
+     * weights is not included, so that the preferred target of a prefix stays the same when weights
+     * change.
      *
-     * @param owner whose cache it is, empty for the common one
-     * @param heldTokens how many tokens of the prompt are held
+     * @param cacheScope the scope in which cached prompts are shared
+     * @param heldTokens how many leading tokens of the prompt are held
      */
-    static long affinityKey(String owner, Prompt prompt, int heldTokens) {
-        HashStream64 hash = Hashing.wyhashFinal4().hashStream().putString(owner);
+    static long affinityKey(String cacheScope, Prompt prompt, int heldTokens) {
+        HashStream64 hash = Hashing.wyhashFinal4().hashStream().putString(cacheScope);
         int tokens = 0;
         for (Prompt.Part part : prompt.sharedParts()) {
             hash.putLong(part.id());
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/CacheUpdate.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/CacheUpdate.java
@@ -18,13 +18,13 @@
 import java.util.List;
 
 /**
- * What has changed in the cache of an engine or a store.
+ * A change in the cache of an engine or the KV store.
  *
  * @param holder the engine's id or the store's address
- * @param reachable whether it answers
- * @param restarted whether all that was kept before is gone
- * @param added keys of parts that are kept now
- * @param removed keys of parts that aren't kept any more
+ * @param reachable whether the holder answers the control process that reads its cache events
+ * @param restarted whether everything that was known of the cache before is void
+ * @param added keys of parts that are cached now
+ * @param removed keys of parts that are no longer cached
  */
 public record CacheUpdate(
         String holder, boolean reachable, boolean restarted, List<Long> added, List<Long> removed) {
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/CacheView.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/CacheView.java
@@ -20,19 +20,21 @@
 import org.quilldyke.caller.Prompt;
 
 /**
- * What a target or a store is believed to keep of prompts: what its events say, and for a while
- * what was sent to it, since events come late.
+ * The prompt parts that a target or the KV store is assumed to have cached: those that its cache
+ * events report and, for a short time, those that were sent to it, since events arrive late.
  */
 final class CacheView {
-    /** More parts than any engine of today's sites keeps; the oldest are forgotten beyond. */
+    /**
+     * More than engines of today's sites cache; beyond it the least recently used part is dropped.
+     */
     private static final int MAX_PARTS = 8192;
 
-    /** A prompt that was sent is read within this time, or its target has refused it. */
+    /** Within this time after it was sent, a prompt is prefilled or its target has refused it. */
     private static final long EXPECTATION_TIMEOUT_MILLIS = 3000;
 
     private static final long CONFIRMED = Long.MAX_VALUE;
 
-    /** Until when each part is believed to be kept, by its key. */
+    /** Until when each part is assumed to be cached, by its key. */
     private final Map<Long, Long> mPartExpiry =
             new LinkedHashMap<>(256, 0.75f, true) {
                 private static final long serialVersionUID = 1;
@@ -44,8 +46,8 @@
             };
 
     /**
-     * Returns how many tokens of a prompt are kept here, or will be when what was sent is read: its
-     * parts from the first on, without a gap.
+     * Returns how many leading tokens of a prompt are cached here, or will be once the prompts that
+     * were sent are prefilled. Counting stops at the first missing part.
      *
      * @param keys the keys of its parts, {@link CacheKeys#of(String, Prompt)}
      */
@@ -54,7 +56,8 @@
     }
 
     /**
-     * Returns how many tokens of a prompt are surely kept by now, so that others may fetch them.
+     * Returns how many leading tokens of a prompt cache events have confirmed, so that engines may
+     * fetch them.
      */
     int fetchableTokens(long[] keys, Prompt prompt) {
         return prefixTokensAt(keys, prompt, CONFIRMED - 1);
@@ -72,12 +75,12 @@
         return tokens;
     }
 
-    /** Takes a part that is kept, by an event. */
+    /** Adds a part that a cache event reports. */
     void addConfirmed(long key) {
         mPartExpiry.put(key, CONFIRMED);
     }
 
-    /** Takes a prompt that is sent. */
+    /** Adds the parts of a prompt that is being sent to the target. */
     void addExpected(String salt, Prompt prompt, long now) {
         for (Prompt.Part part : prompt.parts()) {
             mPartExpiry.merge(
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/Candidate.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/Candidate.java
@@ -19,7 +19,7 @@
 import org.quilldyke.engine.TargetRecord;
 
 /**
- * A target that may serve a request, with the chain of the prompt under its weight version.
+ * A target that may serve a request, with the prompt's block chain for the target's weights.
  *
  * @param target the target's record
  * @param chain the prompt's block keys for the weights that the target has loaded
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/Choice.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/Choice.java
@@ -16,23 +16,24 @@
 package org.quilldyke.routing;
 
 /**
- * A target that was chosen for a request, and why.
+ * The target chosen for a request, with the predictions that led to the choice.
  *
  * @param target the target's id
- * @param address where it takes requests
- * @param weights the version of the model's weights that it holds, {@link #NO_WEIGHTS} if none
- * @param cacheSalt the name under which it shares cached prompts, empty for a request without one
- * @param cachedTokens how much of the prompt it is expected to hold
- * @param missingTokens how much of the prompt it is expected to read
- * @param fetchedTokens how much of it the target is expected to fetch first
- * @param cacheSource where it fetches what it lacks of the prompt, empty for nowhere; named also if
- *     it is expected to lack nothing, since it may have dropped something meanwhile
- * @param cacheTarget where it sends the parts that it has read, empty for nowhere
- * @param admissionMillis the expected time to the first event, less what {@code Admission} pardons
- *     of the reading of a large prompt's own part
+ * @param address where it accepts requests
+ * @param weights the version of the model's weights that it has loaded, {@link #NO_WEIGHTS} if none
+ * @param cacheSalt the salt under which it shares cached prompts, empty if the request has no
+ *     prompt
+ * @param cachedTokens how many of the prompt's tokens it is expected to have, cached or fetched
+ * @param missingTokens how many of the prompt's tokens it is expected to prefill
+ * @param fetchedTokens how many of the prompt's tokens it is expected to fetch first
+ * @param cacheSource where it fetches cached parts that it lacks, empty for nowhere; may be set
+ *     although nothing is expected to be missing, since the target may have evicted parts meanwhile
+ * @param cacheTarget where it sends the parts that it has prefilled, empty for nowhere
+ * @param admissionMillis the expected time to the first event, less what {@code Admission}
+ *     discounts of the prefill of a large prompt's unshared part
  * @param expectedMillis the expected time to the first event
- * @param runnerUp the next best target, empty if there was none
- * @param runnerUpMillis the expected time there
+ * @param runnerUp the id of the next best target, empty if there was none
+ * @param runnerUpMillis the expected time to the first event there
  */
 public record Choice(
         String target,
@@ -48,6 +49,6 @@
         long expectedMillis,
         String runnerUp,
         long runnerUpMillis) {
-    /** Stands for a target without a model. */
+    /** The weights of a target without a model. */
     public static final long NO_WEIGHTS = -1;
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/CostModel.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/CostModel.java
@@ -16,63 +16,71 @@
 package org.quilldyke.routing;
 
 /**
- * What a request costs at an engine, in milliseconds.
+ * Predicts how long an engine takes for a request.
  *
- * <p>An engine reads prompts at a steady rate, one after the other, between the steps that make the
- * next token of each request it runs; a step takes longer the more requests run.
+ * <p>An engine prefills prompts at a steady rate, one after the other, between decode steps. Each
+ * step generates the next token of every running request and takes longer the more requests run.
  *
- * @param prefillTokensPerMilli how many prompt tokens are read in a millisecond
- * @param firstTokenOverheadMillis what the first token takes besides reading
- * @param stepMillis how long a step takes with one request
- * @param stepMillisPerRequest how much longer with each further one
+ * @param prefillTokensPerMilli how many prompt tokens are prefilled in a millisecond
+ * @param firstTokenOverheadMillis time to the first token beyond the prefill and one step
+ * @param stepMillis duration of a step with one request
+ * @param stepMillisPerRequest how much longer a step takes for each further request
  */
 public record CostModel(
         double prefillTokensPerMilli,
         double firstTokenOverheadMillis,
         double stepMillis,
         double stepMillisPerRequest) {
-    /** A token of 18 KB over an engine's link of 370 to 550 Gbit/s, between failure domains. */
+    /** 18 KB per token over an engine's link of 370 to 550 Gbit/s, between failure domains. */
     public static final double ENGINE_FETCH_MILLIS_PER_TOKEN = 0.001;
 
-    /** A token of 18 KB over a store's link of 25 Gbit/s. */
+    /** 18 KB per token over the store's link of 25 Gbit/s. */
     public static final double STORE_FETCH_MILLIS_PER_TOKEN = 0.0065;
 
     /**
-     * What a millisecond of reading costs each request that runs and waits for it, in shared tokens
-     * read again, see {@link PlacementCost}.
+     * Cost of a millisecond of prefill for each running request that it delays, in recomputed
+     * shared tokens, see {@link PlacementCost}.
      */
     private static final double DELAY_COST_TOKENS_PER_MILLI = 0.14;
 
-    /** What an engine alone takes for an event of four tokens: 20 to 25 ms on today's sites. */
+    /**
+     * Interval of events of four tokens at an engine with one request: 20 to 25 ms at today's
+     * sites.
+     */
     private static final double IDLE_EVENT_INTERVAL_MILLIS = 25;
 
     private static final int TOKENS_PER_EVENT = 4;
 
-    /** Prompts that others will send to an engine while a stream runs are on no list. */
+    /**
+     * Margin for prompts that others will send to the engine during the stream, which isn't known
+     * yet.
+     */
     private static final double UNKNOWN_PREFILL_FACTOR = 1.5;
 
-    /** Returns the model for engines of today's sites; refined by what is seen. */
+    /**
+     * Returns the model for engines of today's sites; {@link DelayTracker} adds measured delays.
+     */
     public static CostModel standard() {
         return new CostModel(50, 15, 3.5, 0.1);
     }
 
-    /** Returns the expected time to the first token of a prompt that needn't wait. */
+    /** Returns the expected time to the first token of a prompt that doesn't queue. */
     public double firstTokenMillis(long missingTokens, int running) {
         return firstTokenOverheadMillis + stepMillis(running) + prefillMillis(missingTokens);
     }
 
-    /** Returns how long an engine reads. */
+    /** Returns the prefill time of a number of tokens. */
     public double prefillMillis(long tokens) {
         return tokens / prefillTokensPerMilli;
     }
 
-    /** Returns how long a prompt waits for those before it. */
+    /** Returns how long a prompt waits for the prefill of the backlog and for a slot. */
     public double waitMillis(long backlogTokens, int running, int slots) {
         double slotWaitMillis = Math.max(0, running + 1 - slots) * stepMillis(running) * 10;
         return prefillMillis(backlogTokens) + slotWaitMillis;
     }
 
-    /** Returns how long an engine is expected to take for an event if none of its was seen. */
+    /** Returns the expected interval of events at an engine for which none was measured. */
     public double defaultEventIntervalMillis(int running) {
         return UNKNOWN_PREFILL_FACTOR
                 * (IDLE_EVENT_INTERVAL_MILLIS + TOKENS_PER_EVENT * stepMillisPerRequest * running);
@@ -82,7 +90,7 @@
         return stepMillis + stepMillisPerRequest * running;
     }
 
-    /** Returns what the request costs those that run already, in shared tokens read again. */
+    /** Returns the cost of delaying the requests that already run, in recomputed shared tokens. */
     public double costToOthers(long missingTokens, int running) {
         return missingTokens / prefillTokensPerMilli * running * DELAY_COST_TOKENS_PER_MILLI;
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/CostProfile.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/CostProfile.java
@@ -16,16 +16,16 @@
 package org.quilldyke.routing;
 
 /**
- * What a site cares about most, as the price of computing what is not cached.
+ * What a site optimises for, as the price of prefill that isn't cached.
  *
- * <p>A prefill costs its caller its own time, and every request that waits behind it the same time
- * again; and it evicts blocks that others would have found. So a candidate's cost is its queue plus
- * its prefill times a price that grows with the requests that wait there.
+ * <p>A prefill delays its own request and every request that waits behind it by the same time, and
+ * it evicts blocks that others would have found. So a candidate's cost is its queueing delay plus
+ * its prefill time multiplied by a price that grows with the number of requests waiting there.
  */
 public enum CostProfile {
-    /** Long, heavily shared prompts: prefix hits and little recomputation first. */
+    /** For long, heavily shared prompts: favours cache hits and little recomputation. */
     REUSE(8),
-    /** Callers who cannot wait: the predicted time to first token first. */
+    /** For callers that can't wait: favours a short predicted time to first token. */
     LATENCY(5);
 
     private final double mBasePrefillPrice;
@@ -38,7 +38,7 @@
      * Returns the cost of a candidate, in weighted milliseconds.
      *
      * @param queueMillis predicted wait before the prefill starts
-     * @param prefillMillis predicted time to compute what is not cached
+     * @param prefillMillis predicted prefill time of what isn't cached
      * @param waiting requests that wait at the candidate
      */
     double cost(double queueMillis, double prefillMillis, int waiting) {
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/Decision.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/Decision.java
@@ -18,17 +18,17 @@
 import org.quilldyke.engine.TargetRecord;
 
 /**
- * Which target got a request and why, in full enough to be defended later.
+ * The target chosen for a request, with the predictions that explain the choice.
  *
  * @param target the chosen target
- * @param reason what decided
+ * @param reason what decided the choice
  * @param units the prompt's length
- * @param cachedUnits units thought to be cached at the target
+ * @param cachedUnits units expected to be cached at the target
  * @param queueMillis predicted wait before the prefill
  * @param predictedMillis predicted time to first token
- * @param runnerUp the next best target's id, empty if there was none
- * @param runnerUpMillis the next best target's predicted time to first token
- * @param candidates how many targets were weighed
+ * @param runnerUp the id of the next best target, empty if there was none
+ * @param runnerUpMillis predicted time to first token at the next best target
+ * @param candidates how many targets were below their request limit
  */
 public record Decision(
         TargetRecord target,
@@ -41,15 +41,18 @@
         long runnerUpMillis,
         int candidates) {
 
-    /** What decided. */
+    /** What decided the choice. */
     public enum Reason {
         /** The only candidate. */
         ONLY,
-        /** Cached blocks made it cheapest. */
+        /** It has more blocks cached than the next best target. */
         CACHED,
-        /** Nothing is cached; rendezvous hashing of the prefix chose among the equally loaded. */
+        /**
+         * Costs are nearly equal and it has no more blocks cached; rendezvous hashing of the prefix
+         * decided.
+         */
         RENDEZVOUS,
-        /** The least loaded, cached blocks elsewhere notwithstanding. */
+        /** Its lower load gave it the lowest cost, although it has no more blocks cached. */
         LOAD
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/DelayTracker.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/DelayTracker.java
@@ -16,10 +16,10 @@
 package org.quilldyke.routing;
 
 /**
- * How much longer a target takes to its first event than was expected: an average that fades.
+ * Decaying average of how much later than expected a target's first events arrive.
  *
- * <p>The expectation knows what instances have sent; what it doesn't know (a slow engine, a batch
- * that is full, loads that were told late) shows here.
+ * <p>The expectation is based on the requests that instances have sent. What it doesn't cover shows
+ * here: a slow engine, a full batch, load reports that arrived late.
  */
 final class DelayTracker {
     private static final double NEW_SAMPLE_WEIGHT = 0.3;
@@ -28,14 +28,14 @@
     private double mExcessMillis;
     private long mUpdatedAt;
 
-    /** Takes a seen and an expected time to the first event. */
+    /** Adds the measured and the expected time to a first event. */
     void onMeasured(double measuredMillis, double expectedMillis, long now) {
         double excess = Math.max(0, measuredMillis - expectedMillis);
         mExcessMillis = (1 - NEW_SAMPLE_WEIGHT) * excessMillis(now) + NEW_SAMPLE_WEIGHT * excess;
         mUpdatedAt = now;
     }
 
-    /** Returns the average as of now. */
+    /** Returns the average, decayed to {@code now}. */
     double excessMillis(long now) {
         return mExcessMillis * Math.pow(0.5, Math.max(0, now - mUpdatedAt) / HALF_LIFE_MILLIS);
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/EventIntervalTracker.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/EventIntervalTracker.java
@@ -18,14 +18,14 @@
 import java.util.OptionalDouble;
 
 /**
- * How long a target takes for an event: the time between events over their number, of all streams
- * that this instance has open there, the older the less.
+ * Average time between the events of a target's streams, over all streams that this instance has
+ * open there. Older events count less.
  */
 final class EventIntervalTracker {
-    /** Long prompts that are read beside it slow a target for a second or two. */
+    /** Prefill of long prompts slows a target's streams for one or two seconds. */
     private static final double HALF_LIFE_MILLIS = 1500;
 
-    /** A pace that was seen this long ago is as near to the expected one as to itself. */
+    /** After this time the result lies halfway between the measured and the expected interval. */
     private static final double BLEND_HALF_LIFE_MILLIS = 4000;
 
     private static final long EXPIRY_MILLIS = 10_000;
@@ -37,7 +37,7 @@
     private int mEventCount;
     private long mLastEventAt;
 
-    /** Takes an event that came so many milliseconds after the one before it. */
+    /** Adds an event that arrived so many milliseconds after the one before it in its stream. */
     void onEvent(long intervalMillis, long now) {
         if (isExpired(now)) {
             mEventCount = 0;
@@ -51,14 +51,14 @@
         mLastEventAt = now;
     }
 
-    /** Returns how many milliseconds an event takes; nothing if that isn't known. */
+    /** Returns the average interval; empty if too few events arrived lately. */
     OptionalDouble intervalMillis(long now) {
         return mEventCount < MIN_EVENTS || isExpired(now)
                 ? OptionalDouble.empty()
                 : OptionalDouble.of(mWeightedMillis / mWeightedEvents);
     }
 
-    /** Returns the pace that was seen or, the longer ago that is, rather the expected one. */
+    /** Returns the measured interval, which approaches the expected one as it becomes older. */
     double intervalMillis(double expectedMillis, long now) {
         double measuredWeight = Math.pow(0.5, (now - mLastEventAt) / BLEND_HALF_LIFE_MILLIS);
         OptionalDouble measured = intervalMillis(now);
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/InstanceRank.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/InstanceRank.java
@@ -16,27 +16,30 @@
 package org.quilldyke.routing;
 
 /**
- * Which of all entry instances this one is, as the control group counts them.
+ * The rank of this instance among all entry instances, as assigned by the control group.
  *
- * @param rank from 0 on, less than 0 if it isn't known
- * @param instances how many there are
+ * @param rank from 0, negative if it isn't known
+ * @param instances the number of entry instances
  */
 public record InstanceRank(int rank, int instances) {
-    /** The rank of an instance that no control process has told it yet. */
+    /** The rank of an instance to which no control process has reported one yet. */
     public static final InstanceRank UNKNOWN = new InstanceRank(-1, 1);
 
     /**
-     * So many instances use a target that limits its requests: a part of a limit for each of many
-     * would be used seldom, and all of these parts at once would exceed it.
+     * At most this many instances use a target that limits its requests. With more, each would use
+     * its small share seldom, and all shares used at once would exceed the limit.
      */
     private static final int MAX_SHARERS = 5;
 
-    /** Returns how many instances use a target that limits its requests. */
+    /** Returns how many instances share a target that limits its requests. */
     int sharers() {
         return Math.min(MAX_SHARERS, instances);
     }
 
-    /** Returns whether this instance is one of them; for each target they are others. */
+    /**
+     * Returns whether this instance may use such a target; the sharers differ from target to
+     * target.
+     */
     boolean isSharer(long targetHash) {
         long first = Math.floorMod(targetHash, (long) instances);
         return rank >= 0 && Math.floorMod(rank - first, (long) instances) < sharers();
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/KvSource.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/KvSource.java
@@ -16,13 +16,13 @@
 package org.quilldyke.routing;
 
 /**
- * Who keeps parts of a prompt that an engine lacks.
+ * An engine or the KV store from which an engine can fetch cached parts of a prompt.
  *
- * @param address where they are fetched
- * @param tokens how many of the prompt's tokens are kept there, from the first on
- * @param isStore whether it is the store, not an engine
- * @param millisPerToken how long a token takes from there
- * @param waitMillis how long a transfer waits for others
+ * @param address where the parts are fetched
+ * @param tokens how many leading tokens of the prompt are cached there
+ * @param isStore whether it is the store and not an engine
+ * @param millisPerToken transfer time of a token
+ * @param waitMillis how long a transfer waits for other transfers
  */
 record KvSource(
         String address, int tokens, boolean isStore, double millisPerToken, double waitMillis) {
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/KvStoreView.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/KvStoreView.java
@@ -15,14 +15,14 @@
  */
 package org.quilldyke.routing;
 
-/** The store of kept cache as an instance sees it. */
+/** The KV store as one instance sees it. */
 final class KvStoreView {
     private final CacheView mCache = new CacheView();
     private final DelayTracker mDelay = new DelayTracker();
     private String mAddress = "";
     private boolean mReachable = true;
 
-    /** Takes the store's address from the manifest; empty if there is none. */
+    /** Applies the store's address from the manifest, empty if there is no store. */
     void onAddress(String address) {
         if (!address.equals(mAddress)) {
             mAddress = address;
@@ -39,18 +39,19 @@
     }
 
     /**
-     * Takes when the first event came of an answer whose prompt was partly fetched, and expected.
+     * Records the measured and the expected time to the first event of an answer whose prompt was
+     * partly fetched from the store.
      */
     void onFirstEventAfterFetch(long measuredMillis, long expectedMillis, long now) {
         mDelay.onMeasured(measuredMillis, expectedMillis, now);
     }
 
-    /** Returns how much longer than expected answers take whose prompts are partly fetched. */
+    /** Returns how much later than expected first events arrive if the prompt is partly fetched. */
     double excessMillis(long now) {
         return mDelay.excessMillis(now);
     }
 
-    /** Returns whether there is a store that answers. */
+    /** Returns whether there is a store and it answers. */
     boolean isUsable() {
         return mReachable && !mAddress.isEmpty();
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/LoadShedding.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/LoadShedding.java
@@ -16,13 +16,13 @@
 package org.quilldyke.routing;
 
 /**
- * Which requests are refused early while the engines are overloaded.
+ * Rejects requests early while the engines are overloaded.
  *
- * <p>A cold prompt costs an engine many times what a cached one does. Under overload, waiting lines
- * full of cold prompts push cached blocks out, which makes more prompts cold, and the overload
- * keeps itself up. So the wait that a request may meet grows with the share of it that is cached:
- * cold ones are refused first, and the line stays short enough for the cached ones to be worth
- * their place.
+ * <p>A prompt that isn't cached costs an engine many times what a cached one does. Under overload,
+ * queues full of uncached prompts evict cached blocks, which makes more prompts uncached, so that
+ * the overload sustains itself. The permitted wait therefore grows with the cached share of a
+ * request: uncached ones are refused first, and the queue stays short enough for cached ones to
+ * gain from waiting.
  */
 final class LoadShedding {
     private static final double MAX_UNCACHED_WAIT_MILLIS = 300;
@@ -34,7 +34,7 @@
      * Returns whether a request is refused.
      *
      * @param waitMillis predicted wait before its prefill
-     * @param cachedShare how much of it is cached at its best target, from 0 to 1
+     * @param cachedShare share of it that is cached at its best target, from 0 to 1
      */
     static boolean rejects(double waitMillis, double cachedShare) {
         return waitMillis
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/LoadTable.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/LoadTable.java
@@ -24,10 +24,10 @@
 /**
  * The load of each target: its last report, corrected by what this instance has sent since.
  *
- * <p>A report lags. Work that was dispatched here after the report was taken is not in it, so each
- * dispatch stays added until a report that was taken later, and its units until its first token
- * shows that its prefill is done. Sums are kept up to date, so that reading them costs the same
- * however many requests are open.
+ * <p>Reports are delayed, so a report doesn't include requests that were sent after it was made.
+ * Each dispatch is therefore added until a report that was made later arrives, and its units until
+ * its first token shows that its prefill is done. Sums are maintained incrementally, so that reads
+ * take the same time however many requests are open.
  */
 public final class LoadTable {
     private final Map<String, Load> mLoads = new Object2ObjectOpenHashMap<>();
@@ -40,23 +40,23 @@
     /**
      * Returns an empty table.
      *
-     * @param reportLagMillis how old a report usually is when it arrives
+     * @param reportLagMillis the usual age of a report when it arrives
      */
     public static LoadTable create(long reportLagMillis) {
         return new LoadTable(reportLagMillis);
     }
 
-    /** Notes a report that arrived at {@code now}. */
+    /** Applies a report that arrived at {@code now}. */
     public void onReport(String target, LoadReport report, long now) {
         load(target).applyReport(report, now - mReportLagMillis);
     }
 
-    /** Notes that a request with {@code units} of prefill was sent at {@code now}. */
+    /** Records that a request with {@code units} of prefill was sent at {@code now}. */
     public void onDispatch(String target, long requestNumber, int units, long now) {
         load(target).add(requestNumber, new OpenRequest(units, now));
     }
 
-    /** Notes that the prefill of a request is over. */
+    /** Records that the prefill of a request is done. */
     public void onFirstToken(String target, long requestNumber) {
         Load load = load(target);
         OpenRequest request = load.mOpenRequests.get(requestNumber);
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Notes that a request has ended, in whatever way. */
+    /** Records that a request has completed, failed or was cancelled. */
     public void onEnd(String target, long requestNumber) {
         Load load = load(target);
         OpenRequest request = load.mOpenRequests.remove(requestNumber);
@@ -76,18 +76,18 @@
         }
     }
 
-    /** Drops all that is known of a target's load. */
+    /** Removes the load of a target whose lease has expired. */
     public void onTargetExpired(String target) {
         mLoads.remove(target);
     }
 
-    /** Returns the prompt units that are thought to wait at the target. */
+    /** Returns the prompt units that are expected to wait at the target. */
     public long queuedUnits(String target) {
         Load load = mLoads.get(target);
         return load == null ? 0 : load.mReportedUnits + load.mUnreportedUnits;
     }
 
-    /** Returns the requests that are thought to be at the target, running or waiting. */
+    /** Returns the requests that are expected to be at the target, running or waiting. */
     public int requests(String target) {
         Load load = mLoads.get(target);
         return load == null
@@ -97,7 +97,7 @@
                         load.mOpenRequests.size());
     }
 
-    /** Returns the requests that are thought to wait for their first token at the target. */
+    /** Returns the requests that are expected to wait for their first token at the target. */
     public int waiting(String target) {
         Load load = mLoads.get(target);
         return load == null ? 0 : load.mReportedWaiting + load.mUnreportedWaiting;
@@ -120,7 +120,7 @@
         }
     }
 
-    /** One target's report, and sums over the dispatches that it doesn't cover. */
+    /** One target's report, and sums over the dispatches that it doesn't include. */
     private static final class Load {
         final Long2ObjectOpenHashMap<OpenRequest> mOpenRequests = new Long2ObjectOpenHashMap<>();
         final ArrayDeque<OpenRequest> mUnreported = new ArrayDeque<>();
@@ -150,7 +150,7 @@
             }
         }
 
-        /** Leaves a request out of the sums: a report covers it, or it has ended. */
+        /** Subtracts a request from the sums, since a report includes it or it has ended. */
         void excludeFromSums(OpenRequest request) {
             if (!request.mIsExcluded) {
                 endPrefill(request);
@@ -159,7 +159,9 @@
             }
         }
 
-        /** Drops ended requests from the front, so that none are kept where reports don't come. */
+        /**
+         * Removes excluded requests from the front, so that they don't accumulate without reports.
+         */
         void removeExcluded() {
             while (!mUnreported.isEmpty() && mUnreported.peekFirst().mIsExcluded) {
                 mUnreported.pollFirst();
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/NamedWeights.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/NamedWeights.java
@@ -20,10 +20,10 @@
 import java.util.TreeMap;
 
 /**
- * Which versions of each model's weights operators have named, and when.
+ * The versions of each model's weights that operators have named for use, with their times.
  *
- * <p>Each version counts from its own naming: weights are out of date since the first newer version
- * was named, however many have followed.
+ * <p>A version is outdated from the time at which the first newer version was named, however many
+ * have followed.
  */
 public final class NamedWeights {
     private final Map<String, TreeMap<Long, Long>> mNamedAt = new HashMap<>();
@@ -35,7 +35,7 @@
         return new NamedWeights();
     }
 
-    /** Takes a version that was named at the given time; a repetition changes nothing. */
+    /** Adds a version that was named at the given time; a repetition changes nothing. */
     public void onNamed(String model, long version, long namedAt) {
         mNamedAt.computeIfAbsent(model, name -> new TreeMap<>()).putIfAbsent(version, namedAt);
     }
@@ -46,7 +46,7 @@
         return versions == null ? 0 : versions.lastKey();
     }
 
-    /** Returns for how long a version has been out of date; 0 if it is the newest. */
+    /** Returns for how long a version has been outdated; 0 if it is the newest. */
     public long outdatedMillis(String model, long version, long now) {
         TreeMap<Long, Long> versions = mNamedAt.get(model);
         Map.Entry<Long, Long> next = versions == null ? null : versions.higherEntry(version);
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/PlacementCost.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/PlacementCost.java
@@ -16,62 +16,65 @@
 package org.quilldyke.routing;
 
 /**
- * What it costs to send a prompt to an engine, in shared tokens read again: the common measure of
- * lateness, wasted reading, and cache that gives way.
+ * The cost of sending a prompt to an engine, in recomputed shared tokens: the common unit for late
+ * answers, redundant prefill and evicted cache.
  *
- * <p>Today's sites price a thousand shared tokens that are read again at 0.73 of the worth of a
- * plain request; a late answer loses some 2 of the 2.9 that a long prompt is worth. So a late
- * answer costs as much as 2,700 tokens, and as long as answers are early, the place that reads
- * least is best.
+ * <p>Today's sites price a thousand recomputed shared tokens at 0.73 of the value of a plain
+ * request; a late answer loses about 2 of the 2.9 that a long prompt is worth. So a late answer
+ * costs as much as 2,700 tokens, and as long as answers are early, the target that prefills the
+ * fewest tokens is best.
  */
 final class PlacementCost {
-    /** An answer that comes at its objective costs this many tokens; one that is later, more. */
+    /** Cost of an answer that is expected exactly at its objective; later ones cost more. */
     static final double LATE_COST_TOKENS = 2700;
 
-    /** Up to this part of the objective, the risk of coming late is small. */
+    /** Up to this fraction of the objective, the risk of a late answer is small. */
     static final double LOW_RISK_FRACTION = 0.4;
 
-    /** What an answer costs that is expected at the end of the easy part. */
+    /** Cost of an answer that is expected at the end of the low-risk range. */
     static final double LOW_RISK_COST_TOKENS = 150;
 
     /**
-     * What each shared token costs that is brought to an engine: something else must give way
-     * there, which is brought back or read again later.
+     * Cost of each shared token that is brought to an engine: it evicts others there, which are
+     * fetched or recomputed later.
      */
     static final double COPY_COST_PER_TOKEN = 0.15;
 
-    /** The same at the engine to which all instances bring a subject back: no further copy. */
+    /**
+     * The same at the preferred target, to which all instances return a prefix: no further copies
+     * are made.
+     */
     static final double PREFERRED_TARGET_COPY_COST_PER_TOKEN = 0.05;
 
     /**
-     * What a byte between failure domains costs. Three sites price it at 0.0024, 0.0028 and 0.0099
-     * shared tokens read again; a prompt of 18 KB is worth 50 to 180 of them.
+     * Cost of a byte between failure domains. Three sites price it at 0.0024, 0.0028 and 0.0099
+     * recomputed shared tokens; a prompt of 18 KB costs 50 to 180 of them.
      */
     static final double CROSS_DOMAIN_COST_TOKENS_PER_BYTE = 0.007;
 
-    /** An answer, as a stream of 10 to 70 events. */
+    /** An answer as a stream of 10 to 70 events. */
     static final int TYPICAL_RESPONSE_BYTES = 3000;
 
     /**
-     * What a new connection costs: two round trips, a millisecond of the target and one of the
-     * instance's processor. The large site prices one like 110 to 280 shared tokens read again.
+     * Cost of a new connection: two round trips, a millisecond of the target's processor and one of
+     * the instance's. The large site prices one at 110 to 280 recomputed shared tokens.
      */
     static final double NEW_CONNECTION_COST_TOKENS = 150;
 
-    /** Replaced weights cost a fifth of an answer's worth. */
+    /** Cost of an answer by replaced weights: a fifth of the answer's value. */
     static final double OUTDATED_WEIGHTS_COST_TOKENS = 700;
 
-    /** A prompt that is refused comes back, mostly too late for its objective. */
+    /** Cost of a refusal: the prompt's retry mostly comes too late for its objective. */
     static final double REFUSAL_COST_TOKENS = 1500;
 
     private PlacementCost() {}
 
-    /** Returns what it costs to send a request to another failure domain, and its answer back. */
+    /** Returns the cost of sending a request to another failure domain and its answer back. */
     static double crossDomain(int bodyBytes) {
         return CROSS_DOMAIN_COST_TOKENS_PER_BYTE * (bodyBytes + TYPICAL_RESPONSE_BYTES);
     }
 
-    /** Returns what it costs that the first token is expected after so many milliseconds. */
+    /** Returns the cost of the expected time to the first token. */
     static double lateness(double expectedMillis, long objectiveMillis) {
         double fraction = expectedMillis / Math.max(1, objectiveMillis);
         if (fraction <= LOW_RISK_FRACTION) {
@@ -84,13 +87,13 @@
     }
 
     /**
-     * Returns what it costs to have a prompt's shared parts at an engine.
+     * Returns the cost of providing a prompt's shared parts at an engine.
      *
-     * @param sharedTokens how many tokens others may share
-     * @param cachedTokens how many of the prompt's tokens the engine keeps
-     * @param heldTokens how many it has once it has fetched what others keep
-     * @param preferred whether all instances send there what lacks the same part: what is read
-     *     then, is read for the first time
+     * @param sharedTokens how many tokens other prompts may share
+     * @param cachedTokens how many of the prompt's tokens the engine has cached
+     * @param heldTokens how many it has once it has fetched what other holders have cached
+     * @param preferred whether all instances send prompts that lack the same part to this engine:
+     *     what it prefills then is computed for the first time
      */
     static double prefill(int sharedTokens, int cachedTokens, int heldTokens, boolean preferred) {
         int copiedTokens = Math.max(0, sharedTokens - cachedTokens);
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/PrefixIndex.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/PrefixIndex.java
@@ -24,10 +24,11 @@
 /**
  * Which target holds which blocks, as far as this instance knows.
  *
- * <p>Blocks enter as expected when a request is dispatched and become confirmed by the engine's
- * events; what an engine reports as not cached is trimmed. Everything known of a target belongs to
- * one incarnation and is dropped when another appears. A gap in the event sequence marks the target
- * as in need of a resync; until then its entries stay in use, since a wrong guess costs time only.
+ * <p>Blocks are added as expected when a request is dispatched and become confirmed by the engine's
+ * events; those that an engine reports as not cached become expected again. All entries of a target
+ * belong to one incarnation and are removed when another one appears. A gap in the event sequence
+ * marks the target as in need of a resync; until then its entries stay in use, since a wrong
+ * prediction only costs time.
  */
 public final class PrefixIndex {
     private static final byte EXPECTED = 1;
@@ -42,7 +43,10 @@
         return new PrefixIndex();
     }
 
-    /** Notes that {@code target} runs as {@code incarnation}; drops what an earlier one held. */
+    /**
+     * Records that {@code target} runs as {@code incarnation}; removes the blocks of an earlier
+     * one.
+     */
     public void onIncarnation(String target, long incarnation) {
         Holder holder = mHolders.get(target);
         if (holder == null || holder.mIncarnation < incarnation) {
@@ -50,7 +54,7 @@
         }
     }
 
-    /** Drops all that is known of a target whose lease has lapsed. */
+    /** Removes all entries of a target whose lease has expired. */
     public void onTargetExpired(String target) {
         mHolders.remove(target);
     }
@@ -85,7 +89,7 @@
     }
 
     /**
-     * Replaces what is known of a target by its own list of blocks.
+     * Replaces the entries of a target by its own list of blocks.
      *
      * @param sequence the last event that the list includes
      */
@@ -103,7 +107,8 @@
     }
 
     /**
-     * Trims what the engine turned out not to have: it reported {@code cachedUnits} for a chain.
+     * Applies an engine's report that it found {@code cachedUnits} of a chain in its cache: those
+     * blocks are confirmed, all others of the chain become expected.
      */
     public void onCachedUnits(String target, long incarnation, BlockChain chain, int cachedUnits) {
         Holder holder = currentHolder(target, incarnation);
@@ -115,12 +120,12 @@
             holder.mBlocks.put(chain.key(i), CONFIRMED);
         }
         for (int i = present; i < chain.blocks(); i++) {
-            // The run itself has computed the rest, so it is expected again from now on.
+            // The run has computed the rest, so it is expected to be cached from now on.
             holder.mBlocks.put(chain.key(i), EXPECTED);
         }
     }
 
-    /** Returns how many leading blocks of {@code chain} the target is thought to hold. */
+    /** Returns how many leading blocks of {@code chain} the target is expected to hold. */
     public int matchedBlocks(String target, long incarnation, BlockChain chain) {
         Holder holder = currentHolder(target, incarnation);
         if (holder == null) {
@@ -133,7 +138,7 @@
         return matched;
     }
 
-    /** Returns whether events of the target were lost since its last resync. */
+    /** Returns whether events of the target were missed since its last resync. */
     public boolean needsResync(String target) {
         Holder holder = mHolders.get(target);
         return holder != null && holder.mNeedsResync;
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/PromptCacheLocations.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/PromptCacheLocations.java
@@ -24,14 +24,14 @@
 import org.quilldyke.caller.Prompt;
 
 /**
- * Who keeps which parts of one prompt, and where what nobody keeps has its home; worked out once
- * for a choice and asked for each target.
+ * Where the parts of one prompt are cached, and which target is preferred for parts that are cached
+ * nowhere; built once for a routing decision and queried for each target.
  *
- * <p>Each target is looked at once for each version of weights, not once for each other target: of
- * 50 targets a choice then takes a tenth of the time ({@code TargetBookSizeTest}).
+ * <p>All targets are examined once for each version of weights instead of once for each other
+ * target: of 50 targets a choice then takes a tenth of the time ({@code TargetSelectorScaleTest}).
  */
 final class PromptCacheLocations {
-    /** Less than this isn't worth a transfer: an engine reads it in a millisecond. */
+    /** Fewer tokens aren't worth a transfer: an engine prefills them in a millisecond. */
     private static final int MIN_FETCHED_TOKENS = 64;
 
     private final ForwardRequest mRequest;
@@ -43,11 +43,11 @@
     private final Map<Long, VersionLocations> mByVersion = new HashMap<>();
 
     /**
-     * Returns the holders of a prompt.
+     * Creates the view for a request's prompt.
      *
-     * @param request what is asked for, with a prompt
-     * @param targets all that are known
-     * @param store the store of kept cache
+     * @param request a request with a prompt
+     * @param targets all known targets
+     * @param store the KV store
      */
     PromptCacheLocations(
             ForwardRequest request, Iterable<TargetState> targets, KvStoreView store, long now) {
@@ -59,33 +59,41 @@
         mSharedTokens = mPrompt.sharedTokens();
     }
 
-    /** Returns how many tokens of the prompt others may share. */
+    /** Returns how many tokens of the prompt other prompts may share. */
     int sharedTokens() {
         return mSharedTokens;
     }
 
-    /** Returns the name under which a target shares prompts: by model, weights and organisation. */
+    /**
+     * Returns the salt under which a target shares cached prompts: model, version of the weights
+     * and, unless it is empty, the cache scope.
+     */
     String salt(TargetState target) {
         return locationsFor(target).mSalt;
     }
 
-    /** Returns how many tokens a target keeps, or will when it has read what was sent there. */
+    /**
+     * Returns how many leading tokens a target has cached, or will once it has prefilled what was
+     * sent there.
+     */
     int cachedTokens(TargetState target) {
         return target.cache().cachedTokens(locationsFor(target).mKeys, mPrompt, mNow);
     }
 
-    /** Returns how many of the shared tokens the store surely keeps for a target. */
+    /** Returns how many leading shared tokens the store has confirmed for a target's weights. */
     int storedTokens(TargetState target) {
         return locationsFor(target).mStoredTokens;
     }
 
     /**
-     * Returns who else keeps most of the shared parts, if that is a good deal more than the target.
+     * Returns the source with most of the shared parts cached, if it has clearly more than the
+     * target.
      *
-     * <p>Of several engines that keep as much, one in the target's failure domain is named, where a
-     * transfer takes half the time, and targets spread over those: all would fetch from the first.
+     * <p>Among several engines with equally many tokens, one in the target's failure domain is
+     * chosen, from where a transfer takes half the time. Targets are spread over those engines, or
+     * all would fetch from the first one.
      *
-     * @param cachedTokens how many tokens the target keeps itself
+     * @param cachedTokens how many tokens the target itself has cached
      */
     Optional<KvSource> transferSource(TargetState target, int cachedTokens) {
         VersionLocations locations = locationsFor(target);
@@ -105,10 +113,10 @@
     }
 
     /**
-     * Returns whether a target is where all instances have the first lacking part of the prompt
-     * read: what is read elsewhere is most likely read twice.
+     * Returns whether all instances prefer this target for prompts that lack the same part: parts
+     * that are prefilled elsewhere are most likely prefilled twice.
      *
-     * @param heldTokens how many tokens aren't lacking
+     * @param heldTokens how many leading tokens of the prompt are held
      */
     boolean isPreferredTarget(TargetState target, int heldTokens) {
         long key = CacheKeys.affinityKey(mRequest.cacheScope(), mPrompt, heldTokens);
@@ -119,7 +127,10 @@
         return Long.compareUnsigned(highest, target.rank(key)) <= 0;
     }
 
-    /** Returns the highest rank of those with a target's weights that may take the request. */
+    /**
+     * Returns the highest rank of the healthy targets with the same weights that accept the
+     * request.
+     */
     private long highestRank(TargetState target, long key) {
         long weights = target.weights(mPrompt.model());
         long highest = 0;
@@ -138,24 +149,28 @@
         return mByVersion.computeIfAbsent(target.weights(mPrompt.model()), VersionLocations::new);
     }
 
-    /** What is kept under one version of the weights. */
+    /** Where the prompt is cached under one version of the weights. */
     private final class VersionLocations {
         final String mSalt;
         final long[] mKeys;
         final int mStoredTokens;
 
-        /** The highest rank of a target for each key that is asked for. */
+        /** The highest rank of a target by affinity key. */
         final Map<Long, Long> mHighestRanks = new HashMap<>();
 
-        /** The targets that surely keep most shared tokens, by failure domain. */
+        /** The targets with most shared tokens confirmed, by failure domain. */
         private final Map<String, List<TargetState>> mHoldersByDomain = new HashMap<>();
 
         private final List<TargetState> mAllHolders = new ArrayList<>();
         private int mMostTokens = 1;
 
         VersionLocations(long weights) {
-            String owner = mRequest.cacheScope();
-            mSalt = mPrompt.model() + "." + weights + (owner.isEmpty() ? "" : "." + owner);
+            String cacheScope = mRequest.cacheScope();
+            mSalt =
+                    mPrompt.model()
+                            + "."
+                            + weights
+                            + (cacheScope.isEmpty() ? "" : "." + cacheScope);
             mKeys = CacheKeys.of(mSalt, mPrompt);
             mStoredTokens = mStore.isUsable() ? sharedTokensIn(mStore.cache()) : 0;
             for (TargetState target : mTargets) {
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/RateLimitShare.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/RateLimitShare.java
@@ -16,14 +16,16 @@
 package org.quilldyke.routing;
 
 /**
- * One instance's part of the requests that a target takes from all instances together.
+ * One instance's share of the request rate that a target accepts from all instances together.
  *
- * <p>The limit is divided evenly among those that use the target. Each has one turn at a time, and
- * the time until the next one runs from its use. So in any span of time all together send what the
- * limit allows for that span and one request each.
+ * <p>The limit is divided evenly among the instances that use the target. Each has at most one
+ * permit at a time, and the interval to the next permit starts when the last one is used. So in any
+ * period all instances together send at most what the limit allows for it, plus one request each.
  */
 final class RateLimitShare {
-    /** A target that takes hardly anything is asked this often, to hear whether that holds. */
+    /**
+     * Rate at which targets with a lower limit are probed, to learn whether that limit still holds.
+     */
     private static final double MIN_PER_SECOND = 0.1;
 
     private static final int MILLIS_PER_SECOND = 1000;
@@ -37,19 +39,21 @@
     }
 
     /**
-     * Returns a share that has no turn yet.
+     * Returns a share that has no permit yet.
      *
-     * @param perSecond what the target takes from all
-     * @param sharers how many share it
-     * @param phase the part of the time between two turns until the first one, different at each
-     *     instance
+     * @param perSecond the rate that the target accepts from all instances
+     * @param sharers how many instances share it
+     * @param phase fraction of the interval after which the first permit is available; it differs
+     *     between instances
      */
     static RateLimitShare of(double perSecond, int sharers, double phase, long now) {
         double intervalMillis = intervalMillis(perSecond, sharers);
         return new RateLimitShare(intervalMillis, now + phase * intervalMillis);
     }
 
-    /** Takes another limit, or another number of sharers: of a wait the part that is left stays. */
+    /**
+     * Applies another limit or number of sharers; a remaining wait is scaled to the new interval.
+     */
     void onLimitChange(double perSecond, int sharers, long now) {
         double intervalMillis = intervalMillis(perSecond, sharers);
         if (mNextPermitAt > now) {
@@ -63,7 +67,6 @@
         return now >= mNextPermitAt;
     }
 
-    /** Uses the turn. */
     void consumePermit(long now) {
         mNextPermitAt = now + mIntervalMillis;
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/Rendezvous.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/Rendezvous.java
@@ -17,7 +17,7 @@
 
 import com.dynatrace.hash4j.hashing.Hashing;
 
-/** Rendezvous hashing (Thaler and Ravishankar 1998): the largest rank wins a key. */
+/** Rendezvous hashing (Thaler and Ravishankar 1998): the node with the highest rank owns a key. */
 public final class Rendezvous {
     private Rendezvous() {}
 
@@ -26,12 +26,12 @@
         return rank(key, hash(node));
     }
 
-    /** Returns the rank of a node for a key by the node's {@link #hash}. */
+    /** Returns the rank of a node for a key, given the node's {@link #hash}. */
     static long rank(long key, long nodeHash) {
         return Hashing.xxh3_64().hashLongLongToLong(key, nodeHash);
     }
 
-    /** Returns the hash of a node's name, which doesn't change. */
+    /** Returns the hash of a node's name, which may be cached. */
     static long hash(String node) {
         return Hashing.xxh3_64().hashCharsToLong(node);
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/ReportOrigin.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/ReportOrigin.java
@@ -16,16 +16,17 @@
 package org.quilldyke.routing;
 
 /**
- * Where what an instance knows of a target comes from.
+ * Where this instance's information on a target comes from.
  *
- * @param reporter the control process that told of it last
- * @param reportedAt when the target was heard, in milliseconds of this instance's monotonic clock
+ * @param reporter the control process that last reported the target
+ * @param reportedAt when a control process last received a report of the target itself, in
+ *     milliseconds of this instance's monotonic clock
  */
 public record ReportOrigin(String reporter, long reportedAt) {
-    /** Stands for a target of which nobody has told. */
+    /** The origin for a target that no control process has reported. */
     public static final ReportOrigin UNKNOWN = new ReportOrigin("", Long.MIN_VALUE);
 
-    /** Returns how old the knowledge is at {@code now}, -1 if there is none. */
+    /** Returns how old the information is at {@code now}, -1 if there is none. */
     public long ageMillis(long now) {
         return equals(UNKNOWN) ? -1 : now - reportedAt;
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/Router.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/Router.java
@@ -23,27 +23,29 @@
 import org.quilldyke.engine.TargetRecord;
 
 /**
- * The routing decision: the candidate with the least predicted cost.
+ * Chooses the candidate with the lowest predicted cost.
  *
- * <p>Predicted time to first token is the queue's prefill, plus the prefill of what is not cached.
- * Among candidates whose costs are nearly equal, rendezvous hashing of the prompt's last full block
- * decides, so that instances with empty or different views still send equal prefixes to the same
- * target. Not safe for use by several threads.
+ * <p>The predicted time to first token is the prefill time of the queue plus that of the units that
+ * aren't cached. Among candidates of nearly equal cost, rendezvous hashing of the prompt's last
+ * full block decides, so that instances with empty or different views still send equal prefixes to
+ * the same target. Not safe for use by several threads.
  */
 public final class Router {
-    /** Costs closer than this share of the best one, or than this many milliseconds, are equal. */
+    /**
+     * Costs that differ by less than this share of the lower one, or by fewer milliseconds, tie.
+     */
     private static final double TIE_SHARE = 0.02;
 
     private static final double TIE_MILLIS = 2;
 
     private static final int DEFAULT_UNITS_PER_MILLI = 100;
 
-    /** How long a request holds its slot, as long as nothing better is known. */
+    /** How long a request is assumed to occupy its slot, as no better estimate is available. */
     private static final double DEFAULT_RUN_MILLIS = 1000;
 
     private static final long MIN_RETRY_AFTER_MILLIS = 500;
 
-    /** What share of a line an urgent request is taken to wait for. */
+    /** Share of the queueing delay that an urgent request is assumed to wait. */
     private static final double URGENT_QUEUE_SHARE = 0.1;
 
     private final CostProfile mCostProfile;
@@ -56,7 +58,7 @@
         mLoads = loads;
     }
 
-    /** Returns a router over the given views, which the owner keeps up to date. */
+    /** Returns a router over the given views, which the caller keeps up to date. */
     public static Router create(CostProfile costProfile, PrefixIndex index, LoadTable loads) {
         return new Router(costProfile, index, loads);
     }
@@ -65,8 +67,8 @@
      * Chooses a target.
      *
      * @param candidates the live targets that may serve the request
-     * @param urgent whether the engines let it go ahead of the others; it is not refused for their
-     *     waiting lines
+     * @param urgent whether engines run the request ahead of others; it isn't refused for the
+     *     length of their queues
      * @throws QuilldykeException {@link ResultCode#NO_TARGET} if there are none, {@link
      *     ResultCode#OVERLOADED} if each is at its limit or the wait is too long, see {@link
      *     LoadShedding}
@@ -89,7 +91,7 @@
     }
 
     /**
-     * Chooses the target of a plain service with the least load for its size.
+     * Chooses the target of a plain service with the lowest load in proportion to its slots.
      *
      * @param targets the live targets
      * @param key spreads requests over equally loaded targets
@@ -144,7 +146,7 @@
         int requests = mLoads.requests(target.id());
         boolean full = requests >= requestLimit(target);
         double prefillMillis = (chain.units() - cachedUnits) / unitsPerMilli;
-        // An urgent request passes the line; what it delays there counts for little.
+        // An urgent request overtakes the queue; the delay of the others counts for little.
         double cost =
                 urgent
                         ? mCostProfile.cost(URGENT_QUEUE_SHARE * queueMillis, prefillMillis, 0)
@@ -154,7 +156,7 @@
                 candidate, cachedUnits, queueMillis, prefillMillis, cost, rank(candidate), full);
     }
 
-    /** Returns the predicted wait for a slot, from how many requests are ahead of it. */
+    /** Returns the predicted wait for a slot, by the number of requests ahead. */
     private double slotWaitMillis(TargetRecord target) {
         int ahead = mLoads.requests(target.id()) - target.slots() + 1;
         return ahead <= 0 ? 0 : ahead * DEFAULT_RUN_MILLIS / target.slots();
@@ -210,7 +212,7 @@
         return Decision.Reason.LOAD;
     }
 
-    /** A candidate with its predictions, in milliseconds. */
+    /** A candidate with its predictions; {@code full} if it is at its request limit. */
     private record ScoredCandidate(
             Candidate candidate,
             int cachedUnits,
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/ScoredTarget.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/ScoredTarget.java
@@ -16,19 +16,20 @@
 package org.quilldyke.routing;
 
 /**
- * A target with what a request would cost there.
+ * A target with the predicted cost of a request there.
  *
  * @param state the target
- * @param weights the version of the model's weights that it holds
- * @param cacheSalt the name under which it shares cached prompts
- * @param cachedTokens how many of the prompt's tokens it has once it has fetched what others keep
- * @param missingTokens how many it must read
- * @param fetchedTokens how many of them it fetches first
- * @param cacheSource where it fetches, empty for nowhere
- * @param admissionMillis the expected milliseconds, less what {@code Admission} pardons
- * @param expectedMillis the expected milliseconds to the first event
- * @param cost in the measure of {@link PlacementCost}; for plain requests in tenths of a full
- *     target
+ * @param weights the version of the model's weights that it has loaded
+ * @param cacheSalt the salt under which it shares cached prompts
+ * @param cachedTokens how many of the prompt's tokens it has, cached or fetched
+ * @param missingTokens how many it must prefill
+ * @param fetchedTokens how many it fetches first
+ * @param cacheSource where it fetches them, empty for nowhere
+ * @param admissionMillis the expected time to the first event, less what {@code Admission}
+ *     discounts
+ * @param expectedMillis the expected time to the first event
+ * @param cost in the unit of {@link PlacementCost}; for plain requests in tenths of a full target.
+ *     {@code admissionMillis} is 0 for them, and {@code expectedMillis} is the cost
  */
 record ScoredTarget(
         TargetState state,
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/SuccessorChoice.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/SuccessorChoice.java
@@ -16,13 +16,13 @@
 package org.quilldyke.routing;
 
 /**
- * A target that was chosen for the rest of a stream, and how quick it is expected to be.
+ * The target chosen to continue a stream, with its expected speed.
  *
- * @param choice the target, and what is expected of the first event
- * @param eventIntervalMillis how long each further event takes there
+ * @param choice the target, with the expected time to its first event
+ * @param eventIntervalMillis the expected time per further event there
  */
 public record SuccessorChoice(Choice choice, double eventIntervalMillis) {
-    /** Returns how long the rest of a stream of so many events would last there. */
+    /** Returns how long the rest of a stream with so many events would take there. */
     public double remainingMillis(int events) {
         return choice.expectedMillis() + events * eventIntervalMillis;
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/TargetScorer.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/TargetScorer.java
@@ -22,26 +22,27 @@
 import org.quilldyke.caller.ForwardRequest;
 import org.quilldyke.caller.Prompt;
 
-/** What a request would cost at each target: its wait, the reading, and what gives way to it. */
+/** Predicts what a request costs at each target: queueing delay, prefill and evicted cache. */
 final class TargetScorer {
     /**
-     * Weights that were replaced this long ago cost something: a good while before they must go.
+     * Weights that were replaced this long ago add to the cost, well before they may not be used.
      */
     private static final long OUTDATED_WEIGHTS_MILLIS = 1200;
 
-    /** What the way to another failure domain costs a plain request, in tenths of a full target. */
+    /** Cost of a plain request to another failure domain, in tenths of a full target. */
     private static final double CROSS_DOMAIN_COST = 0.5;
 
-    /** Spreads targets that are as good as each other, in tenths of a full target. */
+    /** Spreads requests over targets of equal cost, in tenths of a full target. */
     private static final double TIE_BREAK_NOISE = 0.1;
 
     /**
-     * What a new connection costs a plain request, in tenths of a full target. Less than the noise:
-     * of idle targets each is tried now and then, and is known to work before it is needed.
+     * Cost of a new connection for a plain request, in tenths of a full target. It is below the
+     * noise, so that each idle target is tried now and then and is known to work before it is
+     * needed.
      */
     private static final double NEW_CONNECTION_COST = TIE_BREAK_NOISE / 2;
 
-    /** A prompt with less to share isn't worth its place in the store. */
+    /** Prompts with fewer shared tokens aren't worth their space in the store. */
     private static final int MIN_SHARED_TOKENS = 1000;
 
     private final String mFailureDomain;
@@ -52,13 +53,13 @@
     private final RandomGenerator mRandom;
 
     /**
-     * Makes ratings over what a book keeps.
+     * Creates a scorer over the state of a {@link TargetSelector}.
      *
-     * @param failureDomain where this instance stands
-     * @param namedWeights the weights that are wanted
-     * @param targets all targets, by id; read at each rating
-     * @param store the store of kept cache; read at each rating
-     * @param random spreads ties
+     * @param failureDomain the failure domain of this instance
+     * @param namedWeights the weights that operators have named for use
+     * @param targets all targets, by id; read for each score
+     * @param store the KV store; read for each score
+     * @param random breaks ties
      */
     TargetScorer(
             String failureDomain,
@@ -73,16 +74,16 @@
         mRandom = random;
     }
 
-    /** Returns who keeps what of a request's prompt; empty if it has none. */
+    /** Returns where a request's prompt is cached; empty if it has no prompt. */
     Optional<PromptCacheLocations> cacheLocations(ForwardRequest request, long now) {
         return request.prompt()
                 .map(prompt -> new PromptCacheLocations(request, mTargets.values(), mStore, now));
     }
 
     /**
-     * Returns what a request would cost at a target.
+     * Returns a target with the cost of a request there.
      *
-     * @param locations who keeps what of its prompt, {@link #cacheLocations}
+     * @param locations where its prompt is cached, {@link #cacheLocations}
      */
     ScoredTarget score(
             TargetState state,
@@ -100,7 +101,7 @@
         return scoreEngine(state, request, locations.get(), noise, now);
     }
 
-    /** Returns how long an event takes at a target: as seen here, or else as expected. */
+    /** Returns the interval of events at a target, as measured here or else as expected. */
     double eventIntervalMillis(TargetState state, long now) {
         return state.eventIntervalMillis(
                 mCostModel.defaultEventIntervalMillis(state.openRequests()), now);
@@ -128,7 +129,7 @@
                         + mCostModel.firstTokenMillis(missingTokens, state.openRequests());
         double ownPrefillMillis =
                 mCostModel.prefillMillis(prompt.tokens() - locations.sharedTokens());
-        double exemptMillis = Admission.discountedPrefillMillis(request, ownPrefillMillis);
+        double discountedMillis = Admission.discountedPrefillMillis(request, ownPrefillMillis);
         boolean outdated = outdatedMillis(state, prompt, now) > OUTDATED_WEIGHTS_MILLIS;
         double costToOthers = mCostModel.costToOthers(missingTokens, state.openRequests());
         double cost =
@@ -149,22 +150,27 @@
                 missingTokens,
                 heldTokens - cachedTokens,
                 source.map(KvSource::address).orElse(""),
-                expectedMillis - exemptMillis,
+                expectedMillis - discountedMillis,
                 expectedMillis,
                 cost);
     }
 
     /**
-     * Returns the store if it keeps shared parts that the target is expected to keep as well. An
-     * engine drops within seconds what isn't asked for, and that is known only some hundred
-     * milliseconds later: to ask the store then costs it a millisecond, to read the parts again
-     * some seventy. Other engines aren't named: one that has just died costs some hundred.
+     * Returns the store if it has shared parts cached that the target is expected to have as well.
+     *
+     * <p>An engine evicts within seconds what isn't requested, and that is known only some hundred
+     * milliseconds later. Asking the store then costs the engine a millisecond; prefilling the
+     * parts again costs some seventy. Other engines aren't used: one that has just failed costs
+     * some hundred.
      */
     String fallbackSource(ScoredTarget scored, PromptCacheLocations locations) {
         return locations.storedTokens(scored.state()) >= MIN_SHARED_TOKENS ? mStore.address() : "";
     }
 
-    /** Returns the store's address if shared parts are read that it lacks, so that it gets them. */
+    /**
+     * Returns the store's address if the request has shared parts that the store lacks, so that the
+     * target sends them there.
+     */
     String uploadStore(ScoredTarget scored, PromptCacheLocations locations) {
         boolean shouldUpload =
                 mStore.isUsable()
@@ -173,7 +179,7 @@
         return shouldUpload ? mStore.address() : "";
     }
 
-    /** Returns for how long a target's weights have been out of date for a prompt. */
+    /** Returns for how long a target's weights have been outdated for a prompt. */
     long outdatedMillis(TargetState state, Prompt prompt, long now) {
         String model = prompt.model();
         return mNamedWeights.outdatedMillis(model, state.weights(model), now);
@@ -182,7 +188,7 @@
     private static double prefillCost(
             TargetState state, PromptCacheLocations locations, int cachedTokens, int heldTokens) {
         int sharedTokens = locations.sharedTokens();
-        // A part that nobody keeps has one home, and so has a subject that is brought back.
+        // One target is preferred for a part that is cached nowhere, and one for a fetched prefix.
         int presentTokens = heldTokens < sharedTokens ? heldTokens : cachedTokens;
         boolean preferred =
                 cachedTokens < sharedTokens && locations.isPreferredTarget(state, presentTokens);
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/TargetSelector.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/TargetSelector.java
@@ -33,11 +33,13 @@
 /**
  * The targets as one instance sees them, and the choice among them.
  *
- * <p>What targets report is corrected by what this instance has sent them since, and by what came
- * back: a target that can't be reached or fails is avoided for a while, longer each time.
+ * <p>What targets report is corrected by what this instance has sent them since and by the results:
+ * a target that can't be reached or fails is avoided for a while, longer each time.
  */
 public final class TargetSelector {
-    /** A target that sent something this lately is alive, however long one answer takes. */
+    /**
+     * A target that has sent data within this time is alive, however long one of its answers takes.
+     */
     public static final long RESPONDING_MILLIS = 600;
 
     private final long mMaxOutdatedMillis;
@@ -55,19 +57,19 @@
     }
 
     /**
-     * Returns a book without targets.
+     * Returns a selector without targets.
      *
-     * @param failureDomain where this instance stands
+     * @param failureDomain the failure domain of this instance
      * @param maxOutdatedMillis for how long after a newer version was named requests may still go
      *     to older weights
-     * @param random spreads ties
+     * @param random breaks ties
      */
     public static TargetSelector create(
             String failureDomain, long maxOutdatedMillis, RandomGenerator random) {
         return new TargetSelector(failureDomain, maxOutdatedMillis, random);
     }
 
-    /** Takes what a target reports. */
+    /** Applies a target's report. */
     public void onReport(TargetReport report) {
         TargetState state = mTargets.get(report.id());
         if (state == null) {
@@ -78,10 +80,11 @@
     }
 
     /**
-     * Notes who told of a target last.
+     * Records which control process last reported a target.
      *
      * @param reporter the control process
-     * @param reportedAt when that or another one had heard the target, as far as it said
+     * @param reportedAt when that or another one received the target's own report, as stated by the
+     *     reporter
      */
     public void onReportOrigin(String id, String reporter, long reportedAt) {
         TargetState state = mTargets.get(id);
@@ -90,24 +93,26 @@
         }
     }
 
-    /** Returns who told of a target last; {@link ReportOrigin#UNKNOWN} if it isn't known. */
+    /**
+     * Returns the origin of a target's last report; {@link ReportOrigin#UNKNOWN} if there is none.
+     */
     public ReportOrigin reportOrigin(String id) {
         TargetState state = mTargets.get(id);
         return state == null ? ReportOrigin.UNKNOWN : state.mReportOrigin;
     }
 
-    /** Returns whether a target has said that it leaves. */
+    /** Returns whether a target has announced that it shuts down. */
     public boolean isLeaving(String id) {
         TargetState state = mTargets.get(id);
         return state != null && state.isLeaving();
     }
 
-    /** Forgets a target. */
+    /** Removes a target. */
     public void onRemoved(String id) {
         mTargets.remove(id);
     }
 
-    /** Takes the services that the manifest names: one of them may be a store of kept cache. */
+    /** Applies the services of the manifest, one of which may be a KV store. */
     public void onServices(List<Service> services) {
         mStore.onAddress(
                 services.stream()
@@ -117,7 +122,7 @@
                         .orElse(""));
     }
 
-    /** Takes what has changed in the cache of an engine or the store. */
+    /** Applies a change in the cache of an engine or the KV store. */
     public void onCacheUpdate(CacheUpdate update) {
         TargetState state = mTargets.get(update.holder());
         boolean isStore = update.holder().equals(mStore.address());
@@ -137,12 +142,12 @@
         update.added().forEach(cache::addConfirmed);
     }
 
-    /** Takes a version of a model's weights that operators named. */
+    /** Records a version of a model's weights that operators have named for use. */
     public void onNamedWeights(String model, long version, long namedAt) {
         mNamedWeights.onNamed(model, version, namedAt);
     }
 
-    /** Notes that a target is about to load weights, or has done so. */
+    /** Records that a target is about to load weights, or that it has finished. */
     public void onLoading(String id, boolean loading, long now) {
         TargetState state = mTargets.get(id);
         if (state != null) {
@@ -150,19 +155,21 @@
         }
     }
 
-    /** Returns whether a target takes nothing since it is to load weights. */
+    /** Returns whether a target accepts no requests because it is to load weights. */
     public boolean isLoading(String id, long now) {
         TargetState state = mTargets.get(id);
         return state != null && state.isLoading(now);
     }
 
-    /** Returns whether streams should go on elsewhere since they keep a target from loading. */
+    /**
+     * Returns whether a target's streams should continue elsewhere because they delay its loading.
+     */
     public boolean shouldMoveStreams(String id, long now) {
         TargetState state = mTargets.get(id);
         return state != null && state.shouldMoveStreams(now);
     }
 
-    /** Takes how much other instances have open at a target. */
+    /** Records how many requests and prompt tokens other instances have open at a target. */
     public void onOtherInstancesLoad(String id, int requests, long tokens) {
         TargetState state = mTargets.get(id);
         if (state != null) {
@@ -171,7 +178,10 @@
         }
     }
 
-    /** Takes how many connections to a target are free: a request there needs no new one. */
+    /**
+     * Records how many connections to a target are free: while there are any, a request needs no
+     * new one.
+     */
     public void onFreeConnections(String id, int free) {
         TargetState state = mTargets.get(id);
         if (state != null) {
@@ -180,16 +190,16 @@
     }
 
     /**
-     * Takes what a target says of the requests that it takes from all instances together.
+     * Applies the limit that a target advertises for requests from all instances together.
      *
-     * @return whether others should hear of it
+     * @return whether the limit should be published to other instances
      */
     public boolean onLimit(AdvertisedLimit limit, long now) {
         TargetState state = mTargets.get(limit.target());
         return state != null && state.onLimit(limit, mInstanceRank, mRandom.nextDouble(), now);
     }
 
-    /** Takes which of all instances this one is: targets' limits are shared among some. */
+    /** Applies this instance's rank, which decides which targets with a limit it may use. */
     public void onInstanceRank(InstanceRank rank, long now) {
         if (!rank.equals(mInstanceRank)) {
             mInstanceRank = rank;
@@ -198,7 +208,7 @@
         }
     }
 
-    /** Takes the weights that a target's answer names. */
+    /** Applies the version of the weights that a target's answer names. */
     public void onWeightsReported(String id, String model, long version) {
         TargetState state = mTargets.get(id);
         if (state != null) {
@@ -207,8 +217,9 @@
     }
 
     /**
-     * Returns the best target for a request, if there is one: of those whose line is short enough
-     * for it and that cost less than a refusal would, or else of all.
+     * Returns the best target for a request, if there is one: the cheapest of those whose queue is
+     * short enough for it and that cost at most a refusal more than the cheapest of all, or else
+     * the latter.
      */
     public Optional<Choice> choose(ForwardRequest request, Set<String> excluded, long now) {
         Optional<PromptCacheLocations> locations = mScorer.cacheLocations(request, now);
@@ -223,16 +234,19 @@
         double maxCost = scored.get(0).cost() + PlacementCost.REFUSAL_COST_TOKENS;
         ScoredTarget best =
                 scored.stream()
-                        .filter(r -> Admission.admits(request, Math.round(r.admissionMillis())))
-                        .filter(r -> r.cost() <= maxCost)
+                        .filter(
+                                target ->
+                                        Admission.admits(
+                                                request, Math.round(target.admissionMillis())))
+                        .filter(target -> target.cost() <= maxCost)
                         .findFirst()
                         .orElse(scored.get(0));
         return Optional.of(choiceOf(best, scored, locations));
     }
 
     /**
-     * Returns the target that is expected to end the rest of a stream first, if one in good
-     * standing can take it.
+     * Returns the healthy target that is expected to complete the rest of a stream first, if there
+     * is one.
      *
      * @param remainingEvents how many events the rest has at most
      */
@@ -247,10 +261,11 @@
         }
         scored.sort(
                 Comparator.comparingDouble(
-                        r ->
-                                r.expectedMillis()
+                        target ->
+                                target.expectedMillis()
                                         + remainingEvents
-                                                * mScorer.eventIntervalMillis(r.state(), now)));
+                                                * mScorer.eventIntervalMillis(
+                                                        target.state(), now)));
         return scored.stream()
                 .findFirst()
                 .map(
@@ -264,7 +279,8 @@
             ScoredTarget best,
             List<ScoredTarget> scored,
             Optional<PromptCacheLocations> locations) {
-        ScoredTarget runnerUp = scored.stream().filter(r -> r != best).findFirst().orElse(null);
+        ScoredTarget runnerUp =
+                scored.stream().filter(target -> target != best).findFirst().orElse(null);
         return new Choice(
                 best.state().id(),
                 best.state().address(),
@@ -274,21 +290,21 @@
                 best.missingTokens(),
                 best.fetchedTokens(),
                 best.cacheSource().isEmpty()
-                        ? locations.map(h -> mScorer.fallbackSource(best, h)).orElse("")
+                        ? locations.map(l -> mScorer.fallbackSource(best, l)).orElse("")
                         : best.cacheSource(),
-                locations.map(h -> mScorer.uploadStore(best, h)).orElse(""),
+                locations.map(l -> mScorer.uploadStore(best, l)).orElse(""),
                 Math.round(best.admissionMillis()),
                 Math.round(best.expectedMillis()),
                 runnerUp == null ? "" : runnerUp.state().id(),
                 runnerUp == null ? 0 : Math.round(runnerUp.expectedMillis()));
     }
 
-    /** Returns whether another target could take a request. */
+    /** Returns whether a target that isn't excluded can accept a request. */
     public boolean hasCandidate(ForwardRequest request, Set<String> excluded, long now) {
         return !candidates(request, excluded, now).isEmpty();
     }
 
-    /** Notes that a request is about to be sent to a target. */
+    /** Records that a request is about to be sent to a target. */
     public void onDispatch(Choice choice, ForwardRequest request, long now) {
         TargetState state = mTargets.get(choice.target());
         if (state != null) {
@@ -296,7 +312,7 @@
         }
     }
 
-    /** Notes that a request is no longer open at a target. */
+    /** Records that a request is no longer open at a target. */
     public void onFinished(Choice choice) {
         TargetState state = mTargets.get(choice.target());
         if (state != null) {
@@ -304,7 +320,7 @@
         }
     }
 
-    /** Notes that the prompt of a request is read, or never will be. */
+    /** Records that the prefill of a request is done, or will never be. */
     public void onPrefillEnd(Choice choice) {
         TargetState state = mTargets.get(choice.target());
         if (state != null) {
@@ -312,10 +328,10 @@
         }
     }
 
-    /** Notes the first event of an answer, so many milliseconds after the request was sent. */
+    /** Records the first event of an answer, so many milliseconds after the request was sent. */
     public void onFirstEvent(Choice choice, long millis, long now) {
         if (choice.fetchedTokens() > 0 && choice.cacheSource().equals(mStore.address())) {
-            // The store's link is shared by all engines: a wait says little of this one.
+            // The store's link is shared by all engines, so a delay doesn't indicate a slow engine.
             mStore.onFirstEventAfterFetch(millis, choice.expectedMillis(), now);
             return;
         }
@@ -325,7 +341,7 @@
         }
     }
 
-    /** Notes a further event of an answer, so many milliseconds after the one before it. */
+    /** Records a further event of an answer, so many milliseconds after the one before it. */
     public void onEvent(String id, long sinceLastMillis, long now) {
         TargetState state = mTargets.get(id);
         if (state != null) {
@@ -333,13 +349,13 @@
         }
     }
 
-    /** Returns how long a target takes for an event, if streams from there were seen lately. */
+    /** Returns the interval of a target's events, if streams from there were observed lately. */
     public OptionalDouble eventIntervalMillis(String id, long now) {
         TargetState state = mTargets.get(id);
         return state == null ? OptionalDouble.empty() : state.eventIntervalMillis(now);
     }
 
-    /** Notes that a target has sent something. */
+    /** Records that a target has sent data. */
     public void onDataReceived(String id, long now) {
         TargetState state = mTargets.get(id);
         if (state != null) {
@@ -347,28 +363,28 @@
         }
     }
 
-    /** Returns whether a target has sent something just now, on any answer. */
+    /** Returns whether a target has sent data within {@link #RESPONDING_MILLIS}, on any answer. */
     public boolean isResponding(String id, long now) {
         TargetState state = mTargets.get(id);
         return state != null && state.receivedWithin(RESPONDING_MILLIS, now);
     }
 
-    /** Notes that a target couldn't be reached. */
+    /** Records that a target couldn't be reached. */
     public void onUnreachable(String id, long now) {
         recordFailure(id, now);
     }
 
-    /** Notes that a target failed a request, or broke off its answer. */
+    /** Records that a target failed a request or broke off its answer. */
     public void onFailure(String id, long now) {
         recordFailure(id, now);
     }
 
-    /** Notes that a target's answer was none. */
+    /** Records that a target's response wasn't a valid answer. */
     public void onInvalidResponse(String id, long now) {
         recordFailure(id, now);
     }
 
-    /** Notes that a target had no room for a request. */
+    /** Records that a target had no capacity for a request. */
     public void onOverloaded(String id, long now) {
         TargetState state = mTargets.get(id);
         if (state != null) {
@@ -376,12 +392,12 @@
         }
     }
 
-    /** Notes that a target isn't what its last report says. */
+    /** Records that the target at the address isn't the one that its last report describes. */
     public void onWrongTarget(String id, long now) {
         onOverloaded(id, now);
     }
 
-    /** Notes a good answer. */
+    /** Records a valid answer. */
     public void onSuccess(String id, long now) {
         TargetState state = mTargets.get(id);
         if (state != null) {
@@ -389,12 +405,12 @@
         }
     }
 
-    /** Returns when a caller that is refused may try again. */
+    /** Returns after how many milliseconds a refused caller may retry. */
     public long retryAfterMillis(ForwardRequest request, long now) {
         return Admission.retryAfterMillis(request, mRandom, now);
     }
 
-    /** Returns the targets, to be read. */
+    /** Returns all targets; callers don't modify the collection. */
     public Collection<TargetState> targets() {
         return mTargets.values();
     }
@@ -406,7 +422,9 @@
         }
     }
 
-    /** Returns the targets that may take a request: those in good standing, else the others. */
+    /**
+     * Returns the targets that may accept a request: the healthy ones or, without any, the others.
+     */
     private List<TargetState> candidates(ForwardRequest request, Set<String> excluded, long now) {
         List<TargetState> healthy = new ArrayList<>();
         List<TargetState> unhealthy = new ArrayList<>();
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/TargetState.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/TargetState.java
@@ -21,29 +21,29 @@
 import org.quilldyke.caller.Prompt;
 import org.quilldyke.engine.TargetReport;
 
-/** One target as an instance sees it: its reports, what is open there, and how it has behaved. */
+/** One target as an instance sees it: its reports, its open requests and its recent failures. */
 public final class TargetState {
-    /** A load that takes longer than this has been forgotten by whoever told of it. */
+    /** The announcement of a load expires after this time, as its sender may have failed. */
     public static final long MAX_LOADING_MILLIS = 6000;
 
-    /** Most runs that are short end within this time of the announcement of a load. */
+    /** Most short runs complete within this time after the announcement of a load. */
     private static final long MIN_DRAIN_MILLIS = 300;
 
     /**
-     * As long as more requests than this run together, an engine brings them forward nearly as fast
-     * as one alone: a step of 4 ms grows by 0.1 ms for each. The last few keep it from loading for
-     * seconds and use little of it.
+     * While more requests than this run together, an engine advances each nearly as fast as a
+     * single one: a step of 4 ms grows by 0.1 ms per request. The last few delay the load for
+     * seconds and use little of the engine, so they are moved.
      */
     private static final int MAX_MOVED_RUNS = 16;
 
-    /** After this long, whatever still runs keeps the engine for too long. */
+    /** After this time, the remaining runs delay the load too long, however many they are. */
     private static final long MAX_DRAIN_MILLIS = 1500;
 
     private static final long INITIAL_BACKOFF_MILLIS = 250;
     private static final int MAX_COUNTED_FAILURES = 4;
     private static final long OVERLOAD_BACKOFF_MILLIS = 60;
 
-    /** A target that owes answers and sends nothing for this long is avoided. */
+    /** A target with open requests that sends nothing for this long is avoided. */
     private static final long UNRESPONSIVE_MILLIS = 900;
 
     int mOtherInstancesRequests;
@@ -82,7 +82,7 @@
         return mReport.id();
     }
 
-    /** Returns where the target takes requests. */
+    /** Returns where the target accepts requests. */
     public String address() {
         return mReport.address();
     }
@@ -97,7 +97,7 @@
         return mOwnRequests;
     }
 
-    /** Returns how many prompt tokens this instance has sent there that aren't read yet. */
+    /** Returns how many prompt tokens sent by this instance wait for their prefill there. */
     public long ownTokens() {
         return mOwnTokens;
     }
@@ -116,18 +116,23 @@
         }
     }
 
-    /** Notes that the target is about to load weights, or has done so; who said so may be gone. */
+    /**
+     * Records that the target is about to load weights, or that it has finished. The announcement
+     * expires, since its sender may have failed.
+     */
     void onLoading(boolean loading, long now) {
         mLoadingSince = isLoading(now) ? mLoadingSince : now;
         mLoadingUntil = loading ? now + MAX_LOADING_MILLIS : Long.MIN_VALUE;
     }
 
-    /** Returns whether the target takes nothing since it is to load weights. */
+    /** Returns whether the target accepts no requests because it is to load weights. */
     boolean isLoading(long now) {
         return now < mLoadingUntil;
     }
 
-    /** Returns whether the target is kept from loading weights by a few long runs. */
+    /**
+     * Returns whether few remaining runs, or runs that take too long, delay the load of weights.
+     */
     boolean shouldMoveStreams(long now) {
         long drainMillis = now - mLoadingSince;
         boolean few = openRequests() <= MAX_MOVED_RUNS && drainMillis >= MIN_DRAIN_MILLIS;
@@ -143,11 +148,11 @@
     }
 
     /**
-     * Takes what the target says of its limit, if that is the newest word.
+     * Applies a limit that the target has advertised, unless a later one is known.
      *
-     * @param rank which instance this is
+     * @param rank this instance's rank
      * @param phase see {@link RateLimitShare#of}
-     * @return whether others should hear of it
+     * @return whether the limit should be published to other instances
      */
     boolean onLimit(AdvertisedLimit limit, InstanceRank rank, double phase, long now) {
         if (limit.receivedAt() < mAdvertisedLimit.receivedAt()) {
@@ -162,7 +167,10 @@
         return shouldPublish;
     }
 
-    /** Takes which instance this is: it may use a target that names a limit, or may not. */
+    /**
+     * Applies this instance's rank, which decides whether it may use a target that advertises a
+     * limit.
+     */
     void onInstanceRank(InstanceRank rank, double phase, long now) {
         if (!mAdvertisedLimit.isSet() || !rank.isSharer(mIdHash)) {
             mLimitShare = null;
@@ -196,7 +204,11 @@
         return Rendezvous.rank(key, mIdHash);
     }
 
-    /** Returns whether the target has failed lately, or says nothing though it should. */
+    /**
+     * Returns whether the target has failed or was overloaded lately, or has sent nothing for a
+     * while although it has requests open or doesn't answer the control process that reads its
+     * cache events.
+     */
     boolean isUnhealthy(long now) {
         boolean receivedRecently = receivedWithin(UNRESPONSIVE_MILLIS, now);
         boolean unresponsive = mOwnRequests > 0 && now - mAwaitingDataSince > UNRESPONSIVE_MILLIS;
@@ -204,7 +216,7 @@
                 || !receivedRecently && (unresponsive || !mReachableFromControl);
     }
 
-    /** Notes whether the target answers the process that watches its cache. */
+    /** Records whether the target answers the control process that reads its cache events. */
     void onReachableFromControl(boolean reachable) {
         mReachableFromControl = reachable;
     }
@@ -229,12 +241,12 @@
         return mCache;
     }
 
-    /** Returns how much longer than expected first events take here, while there is a line. */
+    /** Returns how much later than expected first events arrive, 0 while no request is open. */
     double excessMillis(long now) {
         return openRequests() == 0 ? 0 : mDelay.excessMillis(now);
     }
 
-    /** Returns whether the target has sent something in the last {@code millis}. */
+    /** Returns whether the target has sent data in the last {@code millis}. */
     boolean receivedWithin(long millis, long now) {
         return mDataReceivedAt != Long.MIN_VALUE && now - mDataReceivedAt < millis;
     }
@@ -252,7 +264,7 @@
         mEventIntervals.onEvent(sinceLastMillis, now);
     }
 
-    /** Returns how long an event takes, by the streams that this instance has or had here. */
+    /** Returns the interval of events, measured on this instance's streams. */
     OptionalDouble eventIntervalMillis(long now) {
         return mEventIntervals.intervalMillis(now);
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/package-info.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/package-info.java
@@ -1,2 +1,2 @@
-/** The decision that joins the peers: which target gets a request, and why. */
+/** Chooses the target of a request by cached prompts, load and health of the targets. */
 package org.quilldyke.routing;
--- a/quilldyke-core/src/main/java/org/quilldyke/weights/EngineFleet.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/weights/EngineFleet.java
@@ -24,9 +24,8 @@
  * The engines as the planner sees them.
  *
  * @param engines the live engines
- * @param unresponsive the ids of those that don't answer just now: they are left alone
- * @param openRequestCounts how many requests each engine has open, by id; those without any may be
- *     missing
+ * @param unresponsive the ids of those that don't answer at present; they aren't ordered to load
+ * @param openRequestCounts open requests of each engine by id; idle engines may be missing
  */
 public record EngineFleet(
         List<TargetReport> engines,
--- a/quilldyke-core/src/main/java/org/quilldyke/weights/EngineStatus.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/weights/EngineStatus.java
@@ -18,13 +18,13 @@
 import java.util.Map;
 
 /**
- * What an engine says of itself when asked.
+ * An engine's answer to a status query.
  *
- * @param busy whether it carries out an order
+ * @param busy whether it is executing an order
  * @param revision the number of orders that it has accepted since its start
- * @param weights the version of each model's weights that it holds
- * @param startedAtMillis the birth that it tells, {@link
- *     org.quilldyke.engine.Incarnation#UNKNOWN_START} if none
+ * @param weights the version of each model's weights that it has loaded
+ * @param startedAtMillis its start time as it reports it, {@link
+ *     org.quilldyke.engine.Incarnation#UNKNOWN_START} if it reports none
  */
 public record EngineStatus(
         boolean busy, long revision, Map<String, Long> weights, long startedAtMillis) {
--- a/quilldyke-core/src/main/java/org/quilldyke/weights/LoadAction.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/weights/LoadAction.java
@@ -15,18 +15,24 @@
  */
 package org.quilldyke.weights;
 
-/** What to do next to bring engines to new weights. */
+/** An action of the {@link LoadPlanner} to bring engines to new weights. */
 public sealed interface LoadAction {
     /** Returns the engine that it concerns. */
     String target();
 
-    /** Tell all instances that the engine is about to load weights, so that none sends it work. */
+    /**
+     * Notify all instances that the engine is about to load weights, so that none sends it
+     * requests.
+     */
     record AnnounceLoading(String target) implements LoadAction {}
 
-    /** Tell all instances that the engine has done with loading. */
+    /**
+     * Notify all instances that the engine accepts requests again; the version is 0 if it was given
+     * up.
+     */
     record ReturnToService(String target, String model, long version) implements LoadAction {}
 
-    /** Ask the engine for its status. */
+    /** Query the engine's status. */
     record QueryStatus(String target) implements LoadAction {}
 
     /** Order the engine to load weights. */
--- a/quilldyke-core/src/main/java/org/quilldyke/weights/LoadPlanner.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/weights/LoadPlanner.java
@@ -28,34 +28,35 @@
 /**
  * Decides which engine loads which weights next.
  *
- * <p>Only the holder of the right to order uses it. A few engines load at once, the others serve
- * meanwhile; a version that was replaced before an engine's turn came is skipped. An engine is
- * announced first, so that nobody sends it work, then asked for its revision, then ordered at that
- * revision: an order whose answer was lost, and which strikes later, can't undo a newer one.
+ * <p>Only the instance that holds the right to order uses it. A few engines load at once while the
+ * others serve; a version that is replaced before an engine starts to load it is skipped. An engine
+ * is announced first, so that no instance sends it requests, then queried for its revision, then
+ * ordered at that revision: an order whose answer was lost and that takes effect later can't undo a
+ * newer one.
  */
 public final class LoadPlanner {
     /**
-     * More engines than this share of all slow each other's loading down: 2 of 6, 18 of 63. Engines
-     * that are down don't count, since those that live are then needed the more.
+     * Share of engines that may load at once: 2 of 6, 18 of 63. More slow each other down. Engines
+     * that are down don't count, since the live ones are needed all the more.
      */
     static final double MAX_CONCURRENT_SHARE = 2.0 / 7;
 
-    /** From the announcement to the order: the news has reached all instances by then. */
+    /** Delay between announcement and order, in which the announcement reaches all instances. */
     static final long ANNOUNCEMENT_DELAY_MILLIS = 40;
 
-    /** When an engine is asked first whether it has loaded; a load takes about this long. */
+    /** Delay of the first status query after an order; a load takes about this long. */
     static final long FIRST_POLL_MILLIS = 750;
 
-    /** How often it is asked after that. */
+    /** Interval of the status queries after that. */
     static final long POLL_MILLIS = 250;
 
-    /** An engine that doesn't answer is asked again after this. */
+    /** Delay before an engine that didn't answer is queried again. */
     static final long RETRY_MILLIS = 500;
 
-    /** An engine that hasn't been ordered and doesn't answer this often is let go. */
+    /** After this many unanswered queries, an engine that hasn't been ordered is given up. */
     static final int MAX_UNANSWERED_QUERIES = 2;
 
-    /** An engine that hasn't loaded by then is let go and taken up again later. */
+    /** An engine that hasn't loaded within this time is given up and retried later. */
     static final long LOAD_TIMEOUT_MILLIS = 8000;
 
     private final Map<String, Job> mJobs = new HashMap<>();
@@ -63,12 +64,12 @@
 
     private LoadPlanner() {}
 
-    /** Returns a planner without any engine under way. */
+    /** Returns a planner without loads in progress. */
     public static LoadPlanner create() {
         return new LoadPlanner();
     }
 
-    /** Forgets what is under way, since this instance may order no longer. */
+    /** Discards all loads in progress, since this instance may no longer order. */
     public List<LoadAction> stop() {
         List<LoadAction> actions = new ArrayList<>();
         mJobs.values()
@@ -82,10 +83,10 @@
     }
 
     /**
-     * Returns what is due.
+     * Returns the actions that are due.
      *
      * @param fleet the live engines
-     * @param wanted the version of each model's weights that all shall hold
+     * @param wanted the version of each model's weights that all engines should have
      * @param now the present time
      */
     public List<LoadAction> tick(EngineFleet fleet, Map<String, Long> wanted, long now) {
@@ -102,7 +103,7 @@
         return actions;
     }
 
-    /** Takes an engine's status; one of another incarnation of it is as good as none. */
+    /** Applies an engine's status; one of another incarnation counts as no answer. */
     public List<LoadAction> onStatus(String target, EngineStatus status, long now) {
         Job job = mJobs.get(target);
         if (job == null) {
@@ -119,7 +120,7 @@
             return List.of(new LoadAction.ReturnToService(target, job.mModel, loadedVersion));
         }
         if (status.busy() || job.mOrdered && status.revision() > job.mRevision) {
-            // Under way, by this order or an earlier one that was thought lost.
+            // In progress, by this order or by an earlier one that was assumed lost.
             job.mDueAt = now + POLL_MILLIS;
             return List.of();
         }
@@ -134,7 +135,7 @@
         return List.of(new LoadAction.Order(target, job.mModel, job.mVersion, status.revision()));
     }
 
-    /** Notes that an engine didn't tell its status. */
+    /** Records that an engine didn't answer a status query. */
     public List<LoadAction> onStatusUnavailable(String target, long now) {
         Job job = mJobs.get(target);
         if (job == null) {
@@ -147,7 +148,7 @@
         return keepWaiting ? List.of() : List.of(abandon(job, now));
     }
 
-    /** Takes an engine's answer to an order. */
+    /** Applies the outcome of an order. */
     public List<LoadAction> onOrderOutcome(String target, OrderOutcome outcome, long now) {
         Job job = mJobs.get(target);
         if (job == null) {
@@ -164,13 +165,16 @@
             }
             case UNKNOWN -> job.mDueAt = now + ANNOUNCEMENT_DELAY_MILLIS;
             default -> {
-                // Accepted: its status tells when it is done.
+                // Accepted: status queries show when it is done.
             }
         }
         return List.of();
     }
 
-    /** An engine's own report may be quicker than the next question. */
+    /**
+     * Returns an engine to service if its own report, which may precede the next query, shows that
+     * it has loaded.
+     */
     private void finishIfLoaded(TargetReport engine, List<LoadAction> actions) {
         Job job = mJobs.get(engine.id());
         if (job == null) {
@@ -205,8 +209,8 @@
     }
 
     /**
-     * Returns the engines that hold a model. The oldest weights go first, so that no engine is
-     * passed over by version after version; of these the engine with the least to finish.
+     * Returns the engines that have a model. The oldest weights come first, so that no engine is
+     * passed over by version after version; among these, engines with the fewest open requests.
      */
     private static List<TargetReport> byPriority(EngineFleet fleet, String model) {
         return fleet.engines().stream()
@@ -232,7 +236,7 @@
         return new LoadAction.ReturnToService(job.mTarget, job.mModel, 0);
     }
 
-    /** One engine on its way to new weights. */
+    /** The load of new weights at one engine. */
     private static final class Job {
         final String mTarget;
         final String mModel;
--- a/quilldyke-core/src/main/java/org/quilldyke/weights/OrderOutcome.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/weights/OrderOutcome.java
@@ -17,26 +17,26 @@
 
 import org.quilldyke.engine.Incarnation;
 
-/** What an engine answered to an order. */
+/** An engine's answer to an order. */
 public enum OrderOutcome {
-    /** It carries the order out. */
+    /** It executes the order. */
     ACCEPTED,
-    /** What the order asks for holds already. */
+    /** It has already loaded what the order asks for. */
     HOLDS,
-    /** It didn't take the order: another one is under way, or its revision is another. */
+    /** It rejected the order: another one is in progress, or its revision differs. */
     CONFLICT,
-    /** It didn't take the order, for another reason. */
+    /** It rejected the order for another reason. */
     REFUSED,
-    /** It gave no answer: it may carry the order out, even seconds later. */
+    /** It didn't answer: it may execute the order, even seconds later. */
     UNKNOWN;
 
     /**
-     * Returns what this answer says of the engine that was ordered: nothing if another incarnation
-     * gave it.
+     * Returns this outcome if the ordered incarnation may have given it, {@link #UNKNOWN} if
+     * another one did.
      *
      * @param orderedKey the key of the incarnation that was ordered
-     * @param startedAtMillis the birth that the answer tells, {@link Incarnation#UNKNOWN_START} if
-     *     none
+     * @param startedAtMillis the start time that the answer reports, {@link
+     *     Incarnation#UNKNOWN_START} if none
      */
     public OrderOutcome ifFrom(String orderedKey, long startedAtMillis) {
         return Incarnation.ofKey(orderedKey).mayMatch(startedAtMillis) ? this : UNKNOWN;
--- a/quilldyke-core/src/main/java/org/quilldyke/weights/package-info.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/weights/package-info.java
@@ -13,5 +13,5 @@
  * See the License for the specific language governing permissions and
  * limitations under the License.
  */
-/** Bringing engines to new weights: which is ordered when, and what is known of each. */
+/** Plans which engine loads new weights at which time, by what is known of each engine. */
 package org.quilldyke.weights;
