--- a/quilldyke-core/src/test/java/org/quilldyke/routing/EventIntervalTrackerTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/routing/EventIntervalTrackerTest.java
@@ -42,7 +42,9 @@
         assertThat(mTracker.intervalMillis(mNow).getAsDouble()).isAtMost(25.0);
     }
 
-    /** Streams side by side each see the pause in which a long prompt is read. */
+    /**
+     * Each of several concurrent streams observes the pause during the prefill of a long prompt.
+     */
     @Test
     void concurrentStreamsYieldOneInterval() {
         for (int i = 0; i < 20; i++) {
@@ -64,7 +66,7 @@
         assertThat(mTracker.intervalMillis(mNow).getAsDouble()).isWithin(0.001).of(90);
     }
 
-    /** An instance that shuts down sees fewer events of others: what it knows mustn't jump. */
+    /** An instance that shuts down receives fewer events, which must not make its estimate jump. */
     @Test
     void intervalConvergesToTheExpectedOne() {
         addEvents(100, 20);
--- a/quilldyke-core/src/test/java/org/quilldyke/routing/NamedWeightsTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/routing/NamedWeightsTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 
 class NamedWeightsTest {
-    /** A version every few seconds must not keep the oldest in use for ever. */
+    /** A new version every few seconds must not keep the oldest weights in use indefinitely. */
     @Test
     void weightsAreOutdatedSinceTheFirstNewerVersion() {
         NamedWeights named = NamedWeights.create();
--- a/quilldyke-core/src/test/java/org/quilldyke/routing/PrefixIndexTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/routing/PrefixIndexTest.java
@@ -96,11 +96,11 @@
             index.onEvent("e", 1, sent.get(random.nextInt(sent.size())));
         }
 
-        Set<Long> known = new HashSet<>();
+        Set<Long> indexed = new HashSet<>();
         for (long key : index.blocksOf("e", 1)) {
-            known.add(key);
+            indexed.add(key);
         }
-        assertThat(known).isEqualTo(expected);
+        assertThat(indexed).isEqualTo(expected);
     }
 
     @Property(tries = 200, seed = "6")
--- a/quilldyke-core/src/test/java/org/quilldyke/routing/RateLimitShareTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/routing/RateLimitShareTest.java
@@ -24,13 +24,16 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What all instances together send to a target that names a limit. */
+/** Checks what all instances together send to a target that advertises a limit. */
 class RateLimitShareTest {
     private static final long SPAN_MILLIS = 4000;
     private static final long STEP_MILLIS = 20;
     private static final long RUN_MILLIS = 120_000;
 
-    /** Beyond one and a half times the limit, so many requests are a target's own slack. */
+    /**
+     * The most sharers of a target, and the number of requests that it tolerates beyond one and a
+     * half times its limit.
+     */
     private static final int MAX_SHARERS = 5;
 
     @Test
@@ -103,7 +106,9 @@
         }
     }
 
-    /** Returns the most that is sent in a span if all ask all the time from a time on. */
+    /**
+     * Returns the most requests sent in a span if all shares are used continuously from a time on.
+     */
     private static int maxSentInSpan(int sharers, double limit, long startMillis, int seed) {
         SplittableRandom random = new SplittableRandom(seed);
         List<RateLimitShare> shares = new ArrayList<>();
--- a/quilldyke-core/src/test/java/org/quilldyke/routing/TargetSelectorScaleTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/routing/TargetSelectorScaleTest.java
@@ -33,7 +33,7 @@
 import org.quilldyke.manifest.RequestKind;
 import org.quilldyke.manifest.Route;
 
-/** What a choice costs, and how well it is made, in a large fleet. */
+/** Checks the time and the quality of a choice in a large fleet. */
 class TargetSelectorScaleTest {
     private static final List<String> DOMAINS = List.of("u", "v", "w", "x", "y", "z");
     private static final Prompt PROMPT =
@@ -47,9 +47,9 @@
                             new Prompt.Part(3, 2700)));
 
     /**
-     * Each engine was compared with each other one: a choice took 0.5 ms of 50 engines and 277 ms
-     * of 1,000, 540 times as long, not 0.05 and 0.7 ms. Processor time of this thread, the least of
-     * several: other load doesn't count.
+     * Guards against comparing each engine with each other one: a choice then took 0.5 ms of 50
+     * engines and 277 ms of 1,000, 540 times as long, instead of 0.05 and 0.7 ms. Measures
+     * processor time of this thread, the least of several rounds, so that other load doesn't count.
      */
     @Test
     void choiceTimeGrowsLinearlyWithTheEngines() {
@@ -61,8 +61,8 @@
     }
 
     /**
-     * All engines that lacked a part fetched it from the same one, the first by the order of a hash
-     * table, and mostly over the longer way to another failure domain.
+     * Guards against all engines that lack a part fetching it from the same one, the first by the
+     * order of a hash table, and mostly over the slower link to another failure domain.
      */
     @Test
     void partsAreFetchedWithinTheDomainAndFromManyEngines() {
--- a/quilldyke-core/src/test/java/org/quilldyke/routing/TargetSelectorTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/routing/TargetSelectorTest.java
@@ -93,7 +93,10 @@
         assertThat(choose(2, Set.of(other)).cachedTokens()).isEqualTo(6300);
     }
 
-    /** Another engine was asked for parts that it was only about to read: both then read them. */
+    /**
+     * Guards against fetching parts from an engine that hasn't prefilled them yet: both then
+     * prefilled them.
+     */
     @Test
     void unconfirmedPartsAreNotFetched() {
         Choice preferred = choose(0);
@@ -105,7 +108,9 @@
                 .isEqualTo(preferred.target() + ":1");
     }
 
-    /** With many targets and few requests an instance opened a connection for each second one. */
+    /**
+     * Guards against a new connection for every other request with many targets and few requests.
+     */
     @Test
     void targetWithAFreeConnectionIsPreferred() {
         for (String id : List.of("a", "b", "c")) {
@@ -122,7 +127,10 @@
         }
     }
 
-    /** An instance that knew one connection used one of two idle targets only, for good. */
+    /**
+     * Guards against an instance with one connection using only one of two idle targets
+     * permanently.
+     */
     @Test
     void mostButNotAllPlainRequestsUseAFreeConnection() {
         mSelector.onRemoved("c");
@@ -139,7 +147,7 @@
         assertThat(connected).isIn(Range.closed(800, 950));
     }
 
-    /** It isn't worth reading thousands of tokens again, nor a late answer. */
+    /** A saved connection is worth neither the prefill of thousands of tokens nor a late answer. */
     @Test
     void freeConnectionDoesNotOutweighCacheOrBacklog() {
         Choice choice = choose(0);
@@ -152,7 +160,10 @@
         assertThat(choose(2).target()).isEqualTo("a");
     }
 
-    /** Bodies of 18 KB went to other domains for 20 ms less of a line: the dearest price there. */
+    /**
+     * Guards against sending bodies of 18 KB to another failure domain to save 20 ms of queueing,
+     * at the site where such traffic costs most.
+     */
     @Test
     void largeBodyStaysInItsFailureDomainAndSmallOneMayLeave() {
         mSelector.onReport(
@@ -170,7 +181,10 @@
         assertThat(mSelector.choose(large, Set.of(), 1).get().target()).isNotEqualTo("far");
     }
 
-    /** What an engine refused to read was taken for kept until the engine ended. */
+    /**
+     * Guards against counting a prompt that an engine refused to prefill as cached until the engine
+     * ends.
+     */
     @Test
     void expectedPartsExpireUnlessConfirmed() {
         Choice preferred = choose(0);
@@ -182,7 +196,10 @@
         assertThat(choose(3100).cachedTokens()).isEqualTo(0);
     }
 
-    /** Prompts of one subject once spread over all engines, each with a copy of its parts. */
+    /**
+     * Guards against prompts with one shared prefix spreading over all engines, each with a copy of
+     * it.
+     */
     @Test
     void cacheIsCopiedOnlyIfTheBacklogCostsMore() {
         Choice preferred = choose(0);
@@ -196,16 +213,19 @@
         assertThat(choose(2).cacheSource()).isEqualTo(preferred.target() + ":1");
     }
 
-    /** Each engine in turn fetched a subject from the store, and kept a copy. */
+    /**
+     * Guards against each engine in turn fetching a shared prefix from the store and caching a
+     * copy.
+     */
     @Test
     void sharedPrefixIsRestoredAtOneEngine() {
         String preferred = choose(0).target();
         mSelector.onServices(List.of(store()));
         reportCached("store:1", choose(0).cacheSalt(), 1, 2);
-        String back = choose(0).target();
+        String restoredAt = choose(0).target();
         for (int i = 1; i < 20; i++) {
             mSelector.onOtherInstancesLoad(preferred, i % 3, 1000 * (i % 3));
-            assertThat(choose(i).target()).isEqualTo(back);
+            assertThat(choose(i).target()).isEqualTo(restoredAt);
         }
     }
 
@@ -213,16 +233,19 @@
     void storeTransferDelayIsLearned() {
         mSelector.onServices(List.of(store()));
         reportCached("store:1", choose(0).cacheSalt(), 1, 2);
-        Choice quick = choose(0);
+        Choice withoutDelay = choose(0);
         for (int i = 0; i < 5; i++) {
-            mSelector.onFirstEvent(quick, quick.expectedMillis() + 400, 10);
+            mSelector.onFirstEvent(withoutDelay, withoutDelay.expectedMillis() + 400, 10);
         }
 
-        assertThat(choose(10).expectedMillis()).isAtLeast(quick.expectedMillis() + 300);
-        assertThat(choose(20_000).expectedMillis()).isAtMost(quick.expectedMillis() + 1);
+        assertThat(choose(10).expectedMillis()).isAtLeast(withoutDelay.expectedMillis() + 300);
+        assertThat(choose(20_000).expectedMillis()).isAtMost(withoutDelay.expectedMillis() + 1);
     }
 
-    /** On a quiet day prompts were refused for the line at their home while others were free. */
+    /**
+     * Guards against refusals under low load for the queue of the preferred target while other
+     * targets are idle.
+     */
     @Test
     void promptIsRedirectedBeforeItsQueueIsTooLong() {
         Choice preferred = choose(0);
@@ -235,9 +258,7 @@
         assertThat(other.admissionMillis()).isLessThan(100L);
     }
 
-    /**
-     * Under load such prompts had their shared parts read again, at a higher price than a refusal.
-     */
+    /** Guards against recomputing shared parts under high load, at a higher cost than a refusal. */
     @Test
     void promptIsRefusedRatherThanRecomputedElsewhere() {
         Choice preferred = choose(0);
@@ -250,7 +271,9 @@
         assertThat(Admission.admits(request(false), choice.admissionMillis())).isFalse();
     }
 
-    /** What an engine had dropped just before was read again, with a copy of it in the store. */
+    /**
+     * Guards against recomputing parts that an engine has just evicted and the store has cached.
+     */
     @Test
     void storeIsFallbackSourceForPartsCachedAtTheEngine() {
         Choice preferred = choose(0);
@@ -265,7 +288,7 @@
         assertThat(choose(2).expectedMillis()).isEqualTo(choose(1).expectedMillis());
     }
 
-    /** An engine that has died holds up whoever wants to fetch from it. */
+    /** A failed engine delays those that try to fetch from it. */
     @Test
     void nothingIsFetchedFromAnUnhealthyEngine() {
         Choice preferred = choose(0);
@@ -292,7 +315,7 @@
         assertThat(choose(2).cacheTarget()).isEmpty();
     }
 
-    /** Neither weights nor organisations that keep to themselves share what is kept. */
+    /** Cached prompts are shared neither across weights nor with isolated organisations. */
     @Test
     void saltDiffersByWeightsAndByIsolatedOrganisation() {
         String common = choose(0).cacheSalt();
@@ -314,7 +337,10 @@
         assertThat(mSelector.choose(request(false), Set.of("a"), 9000)).isEqualTo(Optional.empty());
     }
 
-    /** A dark engine once got its share until its lease ended, 4.2 s later. */
+    /**
+     * Guards against an unreachable engine getting its share of requests until its lease expires,
+     * which took 4.2 s.
+     */
     @Test
     void unresponsiveEngineWithOpenRequestsIsAvoided() {
         Choice preferred = choose(0);
@@ -352,8 +378,10 @@
         assertThat(choose(0, Set.of("c")).target()).isEqualTo("a");
     }
 
-    /** A leader that dies between its announcement and its order once left the engine unused. */
-    /** Fifteen of forty streams were moved, the last of the others ran for five seconds more. */
+    /**
+     * Guards against a load delayed by the last streams: with fifteen of forty moved, the last of
+     * the others ran for five seconds more.
+     */
     @Test
     void streamsMoveFromALoadingEngineWhenFewRemainOrTheDrainIsTooLong() {
         mSelector.onOtherInstancesLoad("a", 40, 0);
@@ -373,6 +401,10 @@
         assertThat(mSelector.shouldMoveStreams("a", 3600)).isFalse();
     }
 
+    /**
+     * Guards against an engine left unused by a leader that fails between its announcement and its
+     * order.
+     */
     @Test
     void loadingAnnouncementExpires() {
         mSelector.onLoading("a", true, 0);
@@ -414,7 +446,7 @@
         assertThat(successor(100, Set.of("b")).get().choice().target()).isEqualTo("c");
     }
 
-    /** The line of prompts there counts against its pace. */
+    /** The backlog of prompts at a target counts against its short event interval. */
     @Test
     void successorForFewEventsHasTheEarliestPrefill() {
         addEvents("a", 100);
@@ -427,7 +459,7 @@
         assertThat(successor(100, Set.of()).get().choice().target()).isEqualTo("b");
     }
 
-    /** What was not seen may be slowed by others' prompts: one that was seen is taken first. */
+    /** Prompts of others may slow an unmeasured target, so one measured as fast is preferred. */
     @Test
     void unmeasuredTargetRanksBetweenFastAndSlowTargets() {
         mSelector.onRemoved("c");
--- a/quilldyke-core/src/test/java/org/quilldyke/routing/TargetStateLimitTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/routing/TargetStateLimitTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.quilldyke.engine.TargetReport;
 
-/** Whether a target that names a limit takes requests of this instance. */
+/** Checks whether a target that advertises a limit accepts requests of this instance. */
 class TargetStateLimitTest {
     private static final InstanceRank ALONE = new InstanceRank(0, 1);
 
--- a/quilldyke-core/src/test/java/org/quilldyke/weights/LoadPlannerTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/weights/LoadPlannerTest.java
@@ -54,7 +54,10 @@
         assertThat(concurrentLoads(63, Set.of())).isEqualTo(18);
     }
 
-    /** While two of six were dark, and again when their leases had ended, two more went away. */
+    /**
+     * Guards against too many engines out of service: with two of six unreachable, and again after
+     * their leases had expired, two more were taken out to load.
+     */
     @Test
     void unresponsiveEnginesLowerTheLimitOfConcurrentLoads() {
         assertThat(concurrentLoads(6, Set.of("e4", "e5"))).isEqualTo(1);
@@ -71,7 +74,10 @@
                 .containsExactly(new LoadAction.ReturnToService("e0", "m", 2));
     }
 
-    /** In the registry's order the first engines got each version and the last got none. */
+    /**
+     * Guards against loading in the registry's order: the first engines got every version and the
+     * last none.
+     */
     @Test
     void oldestWeightsGoFirst() {
         List<TargetReport> engines = new ArrayList<>();
@@ -84,7 +90,8 @@
     }
 
     /**
-     * Engines took six seconds to finish 45 streams while others with ten waited for their turn.
+     * Guards against draining busy engines first: they took six seconds to complete 45 streams
+     * while others with ten waited to load.
      */
     @Test
     void amongEqualWeightsTheEngineWithFewestOpenRequestsGoesFirst() {
@@ -123,7 +130,10 @@
                 .contains(new LoadAction.ReturnToService("e0", "m", 0));
     }
 
-    /** Two dark engines once held both places until their lease ended. */
+    /**
+     * Guards against two unreachable engines occupying both concurrent loads until their leases
+     * expire.
+     */
     @Test
     void unresponsiveEnginesAreSkippedAndNotCounted() {
         List<LoadAction> actions = mPlanner.tick(fleet(engines(7), Set.of("e0", "e1")), WANTED, 0);
@@ -168,7 +178,7 @@
                 .containsExactly(new LoadAction.Order("e#7", "m", 2, 0));
     }
 
-    /** Has the first engine announced at 0 and asked at 50. */
+    /** Announces the first engine at 0 ms and queries its status at 50 ms. */
     private void startLoading(List<TargetReport> engines) {
         mPlanner.tick(fleet(engines, Set.of()), WANTED, 0);
         mPlanner.tick(fleet(engines, Set.of()), WANTED, 50);
