--- a/quilldyke-core/src/main/java/org/quilldyke/caller/Admission.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/Admission.java
@@ -19,37 +19,42 @@
 import org.quilldyke.routing.Choice;
 
 /**
- * Whether a prompt is sent on although there is a line, and when its caller may come back if not.
+ * Load shedding: decides whether a prompt is admitted while requests are queued, and when the
+ * caller of a refused one may retry.
  *
- * <p>While there is a line, prompts that would come late are refused at once, the less urgent ones
- * earlier, so that urgent ones come in time and those that run aren't held up by reading.
+ * <p>Prompts whose first event would be late are refused immediately. Less urgent prompts are
+ * refused at a lower expected delay, so that urgent ones are served in time and running requests
+ * are not slowed down by prefill.
  */
 public final class Admission {
-    /** The most urgent prompts may wait for their whole objective. */
+    /** Prompts of the highest priority are admitted up to their whole objective. */
     private static final double URGENT_OBJECTIVE_FRACTION = 1.0;
 
-    /** All others leave a part of the line free, so that urgent ones come in time. */
+    /** All other prompts leave a part of the objective as headroom for urgent ones. */
     private static final double NORMAL_OBJECTIVE_FRACTION = 0.65;
 
     /**
-     * The reading of a prompt's own part counts up to this part of its objective: else the largest
-     * would never be taken.
+     * The prefill of a prompt's unshared part counts only up to this fraction of the objective;
+     * otherwise the largest prompts would never be admitted.
      */
     private static final double OWN_PREFILL_OBJECTIVE_FRACTION = 0.2;
 
-    /** Callers come back within this part of the time that they have left, or not at all. */
+    /** A caller may retry within this fraction of its remaining time, or not at all. */
     private static final double MAX_RETRY_DELAY_FRACTION = 1.0 / 3;
 
     /**
-     * The longest time to come back after, in objectives: a line of today's bursts is gone then.
+     * The longest retry delay, in objectives: the queue caused by a typical burst has drained by
+     * then.
      */
     private static final double MAX_RETRY_DELAY_OBJECTIVES = 2.0;
 
     private Admission() {}
 
     /**
-     * Returns whether a request is sent on whose first event is expected after so many
-     * milliseconds, less what is pardoned of its own reading.
+     * Returns whether a request is admitted.
+     *
+     * @param admissionMillis the expected time to the first event, less the exempt part of the
+     *     prefill, see {@link #exemptPrefillMillis}
      */
     public static boolean admits(ForwardRequest request, long admissionMillis) {
         if (request.prompt().isEmpty()) {
@@ -63,7 +68,7 @@
                                 : NORMAL_OBJECTIVE_FRACTION);
     }
 
-    /** Returns what a refusal rests on, for the log. */
+    /** Returns the reason for a refusal, for the log. */
     static String refusalDetail(ForwardRequest request, Choice best) {
         return "best "
                 + best.target()
@@ -75,7 +80,7 @@
                 + request.route().latencyObjectiveMillis();
     }
 
-    /** Returns how much of the reading of a prompt's own part doesn't count. */
+    /** Returns how much of the prefill of a prompt's unshared part is ignored for admission. */
     public static double discountedPrefillMillis(ForwardRequest request, double ownPrefillMillis) {
         double maxCountedMillis =
                 OWN_PREFILL_OBJECTIVE_FRACTION * request.route().latencyObjectiveMillis();
@@ -83,8 +88,8 @@
     }
 
     /**
-     * Returns after how many milliseconds a caller that is refused may come back: spread, so that
-     * not all come at once, and as soon as its own time demands.
+     * Returns the delay after which a refused caller may retry: random, so that not all callers
+     * retry at the same time, and short enough for the remaining time of the request.
      */
     public static long retryAfterMillis(ForwardRequest request, RandomGenerator random, long now) {
         long objective = Math.max(1, request.route().latencyObjectiveMillis());
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/AnswerHead.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/AnswerHead.java
@@ -16,28 +16,30 @@
 package org.quilldyke.caller;
 
 /**
- * What the start of a target's answer says.
+ * The head of a target's answer.
  *
  * @param status the HTTP status
- * @param refused whether the target says that it didn't run the request and never will
- * @param wrongTarget whether the target says that it isn't the one, or hasn't the weights, that the
- *     request expects
- * @param signed whether it bears the mark of a target's own answer
+ * @param refused whether the target states that it did not and will not run the request
+ * @param wrongTarget whether the target states that it is not the expected one, or does not have
+ *     the expected weights
+ * @param signed whether the answer has the signature of a target
  * @param stream whether a stream of events follows
  */
 public record AnswerHead(
         int status, boolean refused, boolean wrongTarget, boolean signed, boolean stream) {
-    /** Returns whether the request has surely not run. */
+    /** Returns whether the request was certainly not run. */
     public boolean isNotRun() {
         return refused || wrongTarget;
     }
 
-    /** Returns whether the answer is a success. */
+    /** Returns whether the status is a success (2xx). */
     public boolean isSuccess() {
         return status >= 200 && status < 300;
     }
 
-    /** Returns whether the answer is a target's own, to be passed on as it is. */
+    /**
+     * Returns whether the answer may be relayed as the target's own; failures need no signature.
+     */
     public boolean isGenuine() {
         return signed || !isSuccess();
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/AttemptState.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/AttemptState.java
@@ -17,17 +17,20 @@
 
 import org.quilldyke.Outcome;
 
-/** How far one attempt to run a request has come: the one place where its outcome is decided. */
+/** The state of one attempt to run a request, which determines its outcome. */
 public enum AttemptState {
-    /** Nothing was sent. */
+    /** Nothing has been sent. */
     QUEUED(Outcome.NOT_RUN),
-    /** A connection is being made or bytes are being sent; the target may have got them. */
+    /**
+     * The connection is being established or bytes are being sent; the target may have received
+     * them.
+     */
     SENDING(Outcome.UNKNOWN),
-    /** The target refused the request and says that it did not run. */
+    /** The target refused the request and states that it was not run. */
     REFUSED(Outcome.NOT_RUN),
     /** The target has accepted the request. */
     ACCEPTED(Outcome.RAN),
-    /** The target could not be connected to, so that no byte has reached it. */
+    /** The connection to the target failed, so that no byte has reached it. */
     UNREACHABLE(Outcome.NOT_RUN);
 
     private final Outcome mOutcome;
@@ -36,7 +39,7 @@
         mOutcome = outcome;
     }
 
-    /** Returns what became of the request if the attempt ends in this state. */
+    /** Returns the outcome of the request if the attempt ends in this state. */
     public Outcome outcome() {
         return mOutcome;
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/ChunkId.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/ChunkId.java
@@ -16,20 +16,20 @@
 package org.quilldyke.caller;
 
 /**
- * Names one chunk of one attempt's answer: what an engine writes into the id of each event.
+ * Identifies a chunk of an answer; engines send it as the id of each event.
  *
  * @param request the request
  * @param attempt the attempt, from 1
- * @param position the chunk's place in the whole answer, from 0; a later attempt goes on where the
- *     one before it stopped
+ * @param position the position of the chunk in the whole answer, from 0; a later attempt continues
+ *     at the position where the previous one stopped
  */
 public record ChunkId(String request, int attempt, int position) {
-    /** Returns the printed form, {@code request/attempt/position}. */
+    /** Returns the text form, {@code request/attempt/position}. */
     public String format() {
         return request + "/" + attempt + "/" + position;
     }
 
-    /** Returns the id that {@code text} prints, or null if it is none. */
+    /** Parses the text form; returns null if {@code text} is not a chunk id. */
     public static ChunkId parse(String text) {
         int last = text.lastIndexOf('/');
         int middle = text.lastIndexOf('/', last - 1);
@@ -41,7 +41,7 @@
             int position = Integer.parseInt(text, last + 1, text.length(), 10);
             return new ChunkId(text.substring(0, middle), attempt, position);
         } catch (NumberFormatException e) {
-            // Lenient: whatever isn't one of our ids is treated as no id.
+            // Ids in another format are treated as absent.
             return null;
         }
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/CutCause.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/CutCause.java
@@ -15,19 +15,19 @@
  */
 package org.quilldyke.caller;
 
-/** Why the last run of an answer was left, told if the answer is cut. */
+/** Why the last run of an aborted answer ended, for logs and metrics. */
 public enum CutCause {
-    /** This instance has to end before the answer does. */
+    /** This instance reached its shutdown deadline before the end of the answer. */
     SHUTDOWN("shutdown"),
-    /** This instance left a target that worked, for another one. */
+    /** This instance moved the stream away from a target that worked. */
     MOVE("move"),
-    /** This instance took the target's silence for its end. */
+    /** This instance treated an unresponsive target as failed. */
     SILENCE("silence"),
-    /** The control group told that the target has ended. */
+    /** The control group reported that the target has ended. */
     CONTROL("control"),
-    /** The target broke its answer off, spoiled or failed it. */
+    /** The target disconnected, sent an invalid answer or failed the request. */
     TARGET("target"),
-    /** The request's own time is over. */
+    /** The deadline of the request has passed. */
     TIME("time");
 
     private final String mLabel;
@@ -36,7 +36,7 @@
         mLabel = label;
     }
 
-    /** Returns the word that logs and metrics use. */
+    /** Returns the label used in logs and metrics. */
     public String label() {
         return mLabel;
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/DisconnectedRuns.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/DisconnectedRuns.java
@@ -22,31 +22,35 @@
 import java.util.Set;
 
 /**
- * Runs whose connections were closed by their targets, until it shows what that was.
+ * Runs whose connections were closed by their targets, kept until it is known whether the target
+ * has crashed.
  *
- * <p>A connection alone may be closed by a fault of the network or of one answer. A target that
- * takes no connections right after it has closed some has crashed.
+ * <p>A closed connection alone may be due to a network failure or to a failure of one request. A
+ * target that refuses connections right after it has closed some has crashed.
  */
 public final class DisconnectedRuns {
-    /** A target that ends later than this after it closed a connection ended for another reason. */
+    /**
+     * A target that ends later than this after it closed a connection did not crash because of that
+     * run.
+     */
     static final long RETENTION_MILLIS = 2000;
 
     private final Map<String, Map<RequestFingerprint, Long>> mByTarget = new HashMap<>();
 
     private DisconnectedRuns() {}
 
-    /** Returns an object that knows of no lost run. */
+    /** Returns an object without runs. */
     public static DisconnectedRuns create() {
         return new DisconnectedRuns();
     }
 
-    /** Notes that a target closed the connection of a run. */
+    /** Records that a target closed the connection of a run. */
     public void onDisconnected(String target, RequestFingerprint request, long now) {
         expire(now);
         mByTarget.computeIfAbsent(target, id -> new HashMap<>()).put(request, now);
     }
 
-    /** Returns the crash of a target that has ended; nothing if it has closed no run before. */
+    /** Returns the crash of a target that has ended; empty if it has not closed a run before. */
     public Optional<TargetCrash> onTargetEnded(String target, long now) {
         expire(now);
         Map<RequestFingerprint, Long> disconnected = mByTarget.remove(target);
@@ -58,7 +62,7 @@
         return Optional.of(new TargetCrash(target, requests, at));
     }
 
-    /** Forgets the runs of a target that has left in peace. */
+    /** Discards the runs of a target that has shut down in an orderly way. */
     public void onTargetLeft(String target) {
         mByTarget.remove(target);
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/EventCountBound.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/EventCountBound.java
@@ -16,23 +16,25 @@
 package org.quilldyke.caller;
 
 /**
- * How many events an answer of one service may have at most, by its allowed tokens.
+ * Upper bound for the number of events in an answer of one service, by its token limit.
  *
- * <p>Each event but the last bears the same whole number of tokens, which nobody tells. An answer
- * bounds it from above: its events can't bear more than its allowance. Only answers that use most
- * of theirs tell the number itself; until a few have, each token is taken for an event.
+ * <p>Each event but the last has the same number of tokens, which is not transmitted. It is derived
+ * from answers: the number of tokens in the events of an answer cannot exceed its limit. This bound
+ * is tight only for answers that use most of their limit; until a few of those have been seen, one
+ * token per event is assumed.
  */
 final class EventCountBound {
     /**
-     * More tokens than this in an event are taken for an answer that used a part of its own:
-     * today's sites have four and five. Where four are true, seven bound an answer by 1.75 times
-     * too little.
+     * An answer with more tokens per event than this is assumed to have ended well below its limit
+     * and is ignored. Sites use 4 or 5 tokens per event; where 4 is right, accepting 7 makes the
+     * bound too low by a factor of 1.75.
      */
     private static final int MAX_TOKENS_PER_EVENT = 7;
 
     /**
-     * So many answers near their allowance are believed: of forty, whose lengths are spread as
-     * {@link RunDurationBound} has it, nine in ten times two or more use 120 events of 191.
+     * Number of answers near their limit before the estimate is used: of 40 answers with the
+     * distribution of lengths in {@link RunDurationBound}, at least two use 120 or more of 191
+     * events in 9 of 10 cases.
      */
     private static final int MIN_SAMPLES = 2;
 
@@ -40,10 +42,10 @@
     private int mSamples;
 
     /**
-     * Takes an answer, or what came of one.
+     * Records an answer, complete or not.
      *
-     * @param maxTokens how many tokens it might have had
-     * @param events how many events it had
+     * @param maxTokens its token limit
+     * @param events the number of its events
      */
     void onAnswer(int maxTokens, int events) {
         if (events < 2) {
@@ -56,7 +58,7 @@
         }
     }
 
-    /** Returns how many events an answer with the given allowance has at most. */
+    /** Returns the maximum number of events in an answer with the given token limit. */
     int maxEvents(int maxTokens) {
         int tokensPerEvent = mSamples < MIN_SAMPLES ? 1 : mTokensPerEvent;
         return (maxTokens + tokensPerEvent - 1) / tokensPerEvent;
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/EventCountEstimator.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/EventCountEstimator.java
@@ -19,37 +19,38 @@
 import java.util.OptionalInt;
 
 /**
- * Which part of its allowance an answer of one service uses: how many events one is likely to have
- * that has had some already.
+ * Estimates the number of events in an answer of one service, given the number received so far,
+ * from the fraction of the token limit that earlier answers used.
  *
- * <p>Most answers use a tenth of what they may. To take each for the longest moved 42 streams in
- * the stops of one day played, 34 of which ended within 4 s of the 7.8 s that they had.
+ * <p>Most answers use a tenth of their limit. When the maximum was assumed for each, 42 streams
+ * were moved during the shutdowns of one simulated day, of which 34 would have ended within 4 s of
+ * the 7.8 s available.
  */
 final class EventCountEstimator {
-    /** Some minutes of one instance's streams. */
+    /** A few minutes of one instance's streams. */
     private static final int MAX_SAMPLES = 256;
 
-    /** Fewer that lasted as long tell too little of how much longer they last. */
+    /** With fewer answers of at least the current length there is no estimate. */
     private static final int MIN_SAMPLES = 8;
 
-    /** Of those that lasted as long, this part is over by then. */
+    /** Fraction of the answers of at least the current length that end by the estimate. */
     private static final double LIKELY_QUANTILE = 0.75;
 
     private final double[] mEventsPerToken = new double[MAX_SAMPLES];
     private int mSamples;
 
-    /** Takes a whole answer: its allowance in tokens, and how many events it had. */
+    /** Records a complete answer. */
     void onCompleted(int maxTokens, int events) {
         mEventsPerToken[mSamples % MAX_SAMPLES] = (double) events / Math.max(1, maxTokens);
         mSamples++;
     }
 
     /**
-     * Returns how many events an answer is likely to have; nothing if too few were seen that had
-     * more than it has by now.
+     * Estimates the number of events in an answer; returns empty if too few longer answers have
+     * been recorded.
      *
-     * @param maxTokens its allowance
-     * @param events how many it has had
+     * @param maxTokens the token limit of the answer
+     * @param events the number of events received so far
      */
     OptionalInt likelyEvents(int maxTokens, int events) {
         double[] longerAnswers =
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/ForwardRequest.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/ForwardRequest.java
@@ -20,19 +20,19 @@
 import org.quilldyke.manifest.Route;
 
 /**
- * A caller's request, as far as forwarding it is decided by it.
+ * A caller's request, as far as it determines how it is forwarded.
  *
- * @param id the caller's id for this attempt of its
- * @param route the route that it takes
- * @param service the service that it goes to
- * @param organisation who sends it, if it showed a key
- * @param sharedCacheScope the name under which organisations share cached prompts
+ * @param id the caller's id for this attempt
+ * @param route the route that the request matches
+ * @param service the service that receives it
+ * @param organisation the organisation that sends it, if it was sent with a key
+ * @param sharedCacheScope the cache scope of organisations that share cached prompts
  * @param prompt its prompt, if it has one
  * @param bodyBytes the size of its body
  * @param arrivedAt when it was read
- * @param deadline when its time is over: the caller's own deadline or the route's timeout
- * @param fingerprint names what it asks for, whatever its id
- * @param resumeAfterEvent the event after which its stream goes on, -1 to begin at the start
+ * @param deadline when it expires: the caller's own deadline or the timeout of the route
+ * @param fingerprint digest of the request, independent of its id
+ * @param resumeAfterEvent the event after which its stream continues, -1 to start at the beginning
  */
 public record ForwardRequest(
         String id,
@@ -46,7 +46,7 @@
         long deadline,
         RequestFingerprint fingerprint,
         long resumeAfterEvent) {
-    /** Returns the rank of the request; 0 goes first. */
+    /** Returns the priority of the request; 0 is the highest. */
     public int priority() {
         return organisation
                 .flatMap(
@@ -58,7 +58,10 @@
                 .orElse(route.priority());
     }
 
-    /** Returns whose cached prompts the request shares: its organisation's own, or the common. */
+    /**
+     * Returns the scope within which the request shares cached prompts: its organisation, or the
+     * one shared by organisations that are not isolated.
+     */
     public String cacheScope() {
         return organisation
                 .filter(Organisation::isolated)
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/Forwarding.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/Forwarding.java
@@ -37,24 +37,24 @@
  * deadline has passed, or if this instance has reached its shutdown deadline.
  */
 public final class Forwarding {
-    /** A request that can't be sent anywhere waits for a part of its objective at most. */
+    /** Divisor of the objective: how long a request waits at most while no target is available. */
     private static final int WAIT_DIVISOR = 5;
 
     private static final long POLL_MILLIS = 20;
 
-    /** How often a request may fail to reach a target before its caller is told. */
+    /** Number of failed connections after which the caller is notified. */
     private static final int MAX_UNREACHABLE = 5;
 
-    /** A target may be silent for this long before another one is asked, whatever the objective. */
+    /** Shortest time without data before another target is asked, whatever the objective. */
     private static final long MIN_UNRESPONSIVE_MILLIS = 800;
 
     /**
-     * A stream is moved by choice only if this many second attempts are left: one for itself, and
-     * two that stay for answers whose target fails.
+     * Retries that must be available to move a stream by choice: one for the move, and two that
+     * remain for answers whose target fails.
      */
     private static final int MIN_RETRIES_TO_MOVE = 3;
 
-    /** A second attempt with less time than this is pointless. */
+    /** With less time left, a retry cannot succeed. */
     private static final long MIN_MILLIS_TO_RETRY = 30;
 
     private final ForwardRequest mRequest;
@@ -66,7 +66,7 @@
     private final ShutdownMigration mMigration;
     private final Handover mHandover;
 
-    /** The run whose answer is passed on, null if there is none. */
+    /** The run whose answer is relayed; null if there is none. */
     private TargetRun mRun;
 
     private int mUnreachableCount;
@@ -93,15 +93,7 @@
         mLastRelayedEvent = request.resumeAfterEvent();
     }
 
-    /**
-     * Returns the decisions for a request.
-     *
-     * @param request what is asked for
-     * @param targets the targets
-     * @param retryBudget bounds second attempts
-     * @param shutdown which requests are taken while the instance shuts down
-     * @param suspects which requests may crash targets
-     */
+    /** Returns the state machine of a request. */
     public static Forwarding of(
             ForwardRequest request,
             TargetSelector targets,
@@ -111,23 +103,23 @@
         return new Forwarding(request, targets, retryBudget, shutdown, suspects);
     }
 
-    /** Returns the first step. */
+    /** Returns the first step of the request. */
     public Step start(long now) {
         mRetryBudget.onRequest(mRequest.service(), now);
         return chooseTarget(now);
     }
 
-    /** Returns the step after a wait. */
+    /** Returns the step after a {@link Step.Wait}. */
     public Step onWaitElapsed(long now) {
         return mAnswerStarted ? resumeStream(mFailureCode, now) : chooseTarget(now);
     }
 
-    /** Notes that the first byte is about to leave: from now on the request may run. */
+    /** Records that the first byte is about to be sent: from now on the request may run. */
     public void onSending() {
         recordSending(mRun);
     }
 
-    /** Returns the step after the target could not be reached; no byte was sent. */
+    /** Returns the step after the connection to the target has failed; no byte was sent. */
     public Step onUnreachable(long now) {
         mTargets.onUnreachable(mRun.target(), now);
         mHistory.onUnavailable(mRun.target());
@@ -137,7 +129,7 @@
             return chooseTarget(now);
         }
         mUnreachableCount = 0;
-        return refuseOrResume(ResultCode.NO_TARGET, MAX_UNREACHABLE + " out of reach", now);
+        return refuseOrResume(ResultCode.NO_TARGET, MAX_UNREACHABLE + " targets unreachable", now);
     }
 
     /** Returns the step after the head of an answer; the body of a stream follows. */
@@ -153,7 +145,7 @@
             return retryOrFail(ResultCode.ANSWER_SPOILED, now);
         }
         if (mAnswerStarted && !(head.stream() && head.isSuccess())) {
-            // Nothing but events can follow those that were passed on.
+            // Only further events can follow the events that were already relayed.
             return onAnswerFailed(ResultCode.STREAM_BROKEN, now);
         }
         if (head.status() >= 500 && !head.isSuccess()) {
@@ -169,36 +161,36 @@
         return new Step.Relay();
     }
 
-    /** Notes that events up to the given one were passed on to the caller. */
+    /** Records that events up to the given one were relayed to the caller. */
     public void onEventRelayed(long event) {
         mAnswerStarted = true;
         mResumeBackoff.onEvent();
         mLastRelayedEvent = event;
         mMigration.onEventRelayed();
-        mRun.onPromptRead();
+        mRun.onPrefillEnd();
     }
 
-    /** Returns at how many targets the request runs, has run or may have run. */
+    /** Returns the number of targets that run, have run or may have run the request. */
     public int runCount() {
         return mHistory.runCount();
     }
 
-    /** Returns the last event passed on, -1 for none. */
+    /** Returns the last event that was relayed, -1 for none. */
     public long lastRelayedEvent() {
         return mLastRelayedEvent;
     }
 
-    /** Notes that the target's answer is complete and passed on. */
+    /** Records that the target's answer is complete and relayed. */
     public void onComplete() {
         finishAll();
     }
 
-    /** Returns the step after the target's answer broke off, or can't be the one asked for. */
+    /** Returns the step after the target's answer was interrupted or is invalid. */
     public Step onAnswerFailed(ResultCode code, long now) {
         return onRunFailed(code, CutCause.TARGET, now);
     }
 
-    /** Returns the step after this instance has taken the target for lost. */
+    /** Returns the step after the target was given up as failed. */
     public Step onTargetLost(CutCause cause, long now) {
         if (!mRun.isSent()) {
             return onUnreachable(now);
@@ -216,8 +208,8 @@
     }
 
     /**
-     * Returns where a stream under way may go on since its target waits for its end to load
-     * weights; nothing if it stays. Its run is kept until the successor has begun.
+     * Returns where a started stream may continue because its target waits for it to end before
+     * loading weights; empty if it stays. Its run is kept until the successor has started.
      */
     public Optional<Step.Send> onLoadPending(long now) {
         boolean mayMove =
@@ -229,16 +221,16 @@
     }
 
     /**
-     * Returns who else may answer since the target has been silent on this request; nothing if that
-     * tells nothing, see {@link #mayReplaceTarget}. Its run is kept until the successor has begun.
+     * Returns which target may take over because the current one is unresponsive; empty if {@link
+     * #mayReplaceTarget} does not allow it. The run is kept until the successor has started.
      */
     public Optional<Step.Send> onTargetUnresponsive(long now) {
         return mayReplaceTarget(now) ? askSuccessor(CutCause.SILENCE, now) : Optional.empty();
     }
 
     /**
-     * Returns where a stream under way has to go on now since it won't end before this instance has
-     * to; nothing if it stays. Its run is kept until the successor has begun.
+     * Returns where a started stream has to move to end before the shutdown deadline of this
+     * instance; empty if it stays. Its run is kept until the successor has started.
      */
     public Optional<Step.Send> onShutdownCheck(long now) {
         if (!mAnswerStarted || !mayAskSuccessor(now)) {
@@ -250,19 +242,19 @@
         return send;
     }
 
-    /** Notes that the first byte is about to leave for the successor. */
+    /** Records that the first byte is about to be sent to the successor. */
     public void onSuccessorSending() {
         recordSending(mHandover.successor());
     }
 
-    /** Notes that the successor could not be reached; the run stays. */
+    /** Records that the connection to the successor has failed; the run continues. */
     public void onSuccessorUnreachable(long now) {
         mTargets.onUnreachable(mHandover.successor().target(), now);
         mHistory.onUnavailable(mHandover.successor().target());
         mHandover.discard();
     }
 
-    /** Notes that the successor has refused the request unrun; the run stays. */
+    /** Records that the successor has refused the request without running it; the run continues. */
     public void onSuccessorRefused(AnswerHead head, long now) {
         String target = mHandover.successor().target();
         recordRefusal(mHandover.successor(), head, now);
@@ -274,7 +266,7 @@
         mHandover.discard();
     }
 
-    /** Notes that the successor failed, or sent no answer that can follow; the run stays. */
+    /** Records that the successor failed or its answer cannot take over; the run continues. */
     public void onSuccessorFailed(long now) {
         mTargets.onFailure(mHandover.successor().target(), now);
         mHistory.onRun(mHandover.successor().target());
@@ -282,7 +274,7 @@
         mHandover.discard();
     }
 
-    /** Notes that the successor isn't wanted any more: the run goes on, or has ended. */
+    /** Records that the successor is no longer needed: the run has resumed or has ended. */
     public void onSuccessorDiscarded() {
         if (mHandover.successor().isSent()) {
             mHistory.onRun(mHandover.successor().target());
@@ -291,13 +283,13 @@
         mHandover.discard();
     }
 
-    /** Returns whether an answer of the successor can take the run's place. */
+    /** Returns whether an answer of the successor can replace the one of the run. */
     public boolean maySuccessorTakeOver(AnswerHead head) {
         return head.isGenuine()
                 && (mAnswerStarted ? head.stream() && head.isSuccess() : head.status() < 500);
     }
 
-    /** Notes that the successor has begun to answer: it takes the run's place. */
+    /** Records that the successor has started to answer: it replaces the run. */
     public void onSuccessorStarted() {
         mCutCause = mHandover.cause();
         mHistory.onLeftRunning(mRun.target());
@@ -305,22 +297,22 @@
         switchToSuccessor();
     }
 
-    /** Returns whether events of the run wait for the successor to begin. */
+    /** Returns whether events of the run are held back until the successor starts. */
     public boolean holdsEvents() {
         return mHandover.holdsEvents();
     }
 
-    /** Returns how long after the last event that was passed on the next ones may be held. */
+    /** Returns for how long after the last relayed event further ones may be held back. */
     public long holdMillis() {
         return mHandover.holdMillis();
     }
 
-    /** Returns whether an answer is passed on already, so that only its rest may come elsewhere. */
+    /** Returns whether events were relayed, so that only the rest may come from another target. */
     public boolean isAnswerStarted() {
         return mAnswerStarted;
     }
 
-    /** Returns the step when the request's time is over. */
+    /** Returns the step when the deadline of the request has passed. */
     public Step onDeadline(long now) {
         return terminate(
                 ResultCode.ROUTE_TIMEOUT,
@@ -329,16 +321,16 @@
     }
 
     /**
-     * Returns the step when the caller's key can't be confirmed just as the request was to be sent.
+     * Returns the step when the caller's key cannot be confirmed before the request is sent.
      *
-     * @param retryAfterMillis when the caller may try again if nothing has run
+     * @param retryAfterMillis when the caller may retry if nothing has run
      */
     public Step onKeyUnconfirmed(long retryAfterMillis, String detail) {
         finishRun();
         return refuse(new Step.Refuse(ResultCode.KEYS_UNCONFIRMED, retryAfterMillis, detail));
     }
 
-    /** Returns the step when this instance has to end before the target's answer does. */
+    /** Returns the step when the shutdown deadline comes before the end of the answer. */
     public Step onShutdownDeadline() {
         return terminate(
                 ResultCode.CUT_BY_SHUTDOWN,
@@ -355,12 +347,12 @@
         return sent ? new Step.Fail(code) : refusal;
     }
 
-    /** Notes that nothing more is done: the caller went away. */
+    /** Records that the caller has disconnected; nothing more is done. */
     public void onCallerDisconnected() {
         finishAll();
     }
 
-    /** Returns for how long the present target may be silent before another one is asked. */
+    /** Returns how long the current target may send nothing before another one is asked. */
     public long unresponsiveTimeoutMillis() {
         if (!mRequest.route().mayRunAgain()) {
             return Long.MAX_VALUE;
@@ -371,9 +363,10 @@
     }
 
     /**
-     * Returns whether another target may be asked since this one has been silent on this request:
-     * not while it answers others, since then it is only busy and the prompt would be read once
-     * more elsewhere; and not if nobody else could answer, or the request can't be sent again.
+     * Returns whether another target may be asked because the current one is unresponsive. Not so
+     * while it sends data for other requests: then it is only busy, and another target would have
+     * to process the same prompt once more. Nor if no other target could answer or the request must
+     * not be sent again.
      */
     public boolean mayReplaceTarget(long now) {
         return !mHandover.isPending()
@@ -389,7 +382,7 @@
                 : Optional.empty();
     }
 
-    /** Nothing is at work before the run is sent: it goes elsewhere if it can't be. */
+    /** Before it is sent, a run needs no successor: if it fails, another target is chosen. */
     private boolean mayAskSuccessor(long now) {
         return mRun != null && mRun.isSent() && !mHandover.isPending() && mayRunAgain(now);
     }
@@ -406,7 +399,7 @@
                 new Step.Send(choice.get(), mRequest.deadline() - now, mLastRelayedEvent));
     }
 
-    /** Returns the step by which the successor, if there is one, is the run from now on. */
+    /** Makes the successor, if there is one, the current run and returns the step for it. */
     private Optional<Step> switchToSuccessor() {
         if (!mHandover.isPending()) {
             return Optional.empty();
@@ -448,7 +441,7 @@
         }
     }
 
-    /** Returns the step after a run has failed. */
+    /** Returns the step after a failed run. */
     private Step retryOrFail(ResultCode code, long now) {
         Optional<Step> next = switchToSuccessor();
         if (next.isPresent()) {
@@ -466,9 +459,9 @@
     }
 
     /**
-     * Returns the step by which a stream under way that has lost its target goes on. What is
-     * wanting may be there in a moment (a second attempt, a target that is loading weights now): it
-     * waits for that as long as its caller does.
+     * Returns the step by which a started stream that has lost its target resumes. What is missing
+     * may soon be available (retry budget, or a target that is loading weights), so the stream
+     * waits for it as long as its caller does.
      */
     private Step resumeStream(ResultCode code, long now) {
         mResumeBackoff.onInterrupted(now);
@@ -511,7 +504,7 @@
                 && hasOtherTarget(now);
     }
 
-    /** Returns whether the request may be sent to a target, or to one more. */
+    /** Returns whether the request may be sent to a first or to one more target. */
     private boolean maySend(long now) {
         return mSuspects.maySend(mRequest.fingerprint(), mHistory.runCount(), now);
     }
@@ -520,7 +513,7 @@
         return now + MIN_MILLIS_TO_RETRY < mRequest.deadline();
     }
 
-    /** Returns whether a target other than the present ones could answer. */
+    /** Returns whether a target other than the current ones could answer. */
     private boolean hasOtherTarget(long now) {
         return mTargets.hasCandidate(mRequest, excludedTargets(), now);
     }
@@ -541,8 +534,8 @@
     }
 
     private Step chooseTarget(long now) {
-        long left = mRequest.deadline() - now;
-        if (left <= 0) {
+        long millisLeft = mRequest.deadline() - now;
+        if (millisLeft <= 0) {
             return refuseOrResume(ResultCode.DEADLINE_PASSED, "no target in time", now);
         }
         if (!maySend(now)) {
@@ -563,7 +556,7 @@
         }
         if (choice.isPresent()) {
             mRun = TargetRun.open(mTargets, choice.get(), mRequest, now);
-            return new Step.Send(choice.get(), left, mLastRelayedEvent);
+            return new Step.Send(choice.get(), millisLeft, mLastRelayedEvent);
         }
         long waitUntil =
                 mRequest.arrivedAt() + mRequest.route().latencyObjectiveMillis() / WAIT_DIVISOR;
@@ -571,7 +564,8 @@
             mHistory.clearUnavailable();
             return new Step.Wait(now + POLL_MILLIS);
         }
-        return refuseOrResume(ResultCode.NO_TARGET, "none but " + mHistory.unavailable(), now);
+        return refuseOrResume(
+                ResultCode.NO_TARGET, "no target other than " + mHistory.unavailable(), now);
     }
 
     private Step refuseOrResume(ResultCode code, String detail, long now) {
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/Handover.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/Handover.java
@@ -18,16 +18,20 @@
 import org.quilldyke.manifest.Route;
 
 /**
- * The successor that is asked to go on with an answer, while the run before it is kept: why it was
- * asked, and how long events of that run wait for it.
+ * The successor that is asked to continue an answer while the current run is kept: why it was
+ * asked, and for how long events of the run are held back for it.
  */
 final class Handover {
-    /** The part of the longest pause that is on time; what is left of it is for the way. */
+    /**
+     * Fraction of the longest allowed pause within which the successor of a move must be expected
+     * to start; the rest is for the transfer to the caller.
+     */
     private static final double MOVE_START_PAUSES = 0.8;
 
     /**
-     * A successor that was expected in time may still begin up to then. Given up sooner, within the
-     * pause that is on time, 64 of 146 were asked for nothing, not 15 of 134 (two days played).
+     * Longest time, in allowed pauses, for which events are held back until the successor starts.
+     * When successors were given up within the allowed pause, 64 of 146 were asked in vain in two
+     * simulated days, instead of 15 of 134.
      */
     private static final double MAX_HOLD_PAUSES = 2;
 
@@ -40,13 +44,13 @@
         mRoute = route;
     }
 
-    /** Notes that a successor is asked. */
+    /** Records that a successor is asked. */
     void ask(TargetRun successor, CutCause cause) {
         mSuccessor = successor;
         mCause = cause;
     }
 
-    /** Returns whether a successor is asked that hasn't begun yet. */
+    /** Returns whether a successor was asked and has not started yet. */
     boolean isPending() {
         return mSuccessor != null;
     }
@@ -56,25 +60,24 @@
         return mSuccessor;
     }
 
-    /** Returns why the successor was asked. */
     CutCause cause() {
         return mCause;
     }
 
-    /** Returns the successor as the run from now on; null if none is asked. */
+    /** Removes and returns the successor, which becomes the current run; null if none is asked. */
     TargetRun takeSuccessor() {
-        TargetRun taken = mSuccessor;
+        TargetRun successor = mSuccessor;
         mSuccessor = null;
-        return taken;
+        return successor;
     }
 
-    /** Gives the successor up; a move that failed isn't tried again. */
+    /** Discards the successor; a move that failed is not tried again. */
     void discard() {
         mMoveFailed |= mCause == CutCause.MOVE;
         finish();
     }
 
-    /** Notes that the request is over. */
+    /** Releases the successor at the end of the request. */
     void finish() {
         if (mSuccessor != null) {
             mSuccessor.finish();
@@ -88,21 +91,22 @@
     }
 
     /**
-     * Returns whether events of the run wait for the successor to begin: it goes on after the last
-     * event that was passed when it was asked. A run that was silent and speaks again needs none.
+     * Returns whether events of the run are held back until the successor starts, because it
+     * continues after the event that was relayed last when it was asked. Not so for an unresponsive
+     * run: if it sends again, no successor is needed.
      */
     boolean holdsEvents() {
         return isPending() && mCause != CutCause.SILENCE;
     }
 
-    /** Returns how long after the last event that was passed on the next ones may be held. */
+    /** Returns for how long after the last relayed event further ones may be held back. */
     long holdMillis() {
         return Math.round(MAX_HOLD_PAUSES * mRoute.eventGapMillis());
     }
 
     /**
-     * Returns within what time a successor has to be expected: a wish makes no answer late, and a
-     * run that is silent has no events to hold.
+     * Returns the time within which a successor must be expected to start: a move by choice must
+     * not delay the answer, and an unresponsive run has no events to hold back.
      */
     long maxExpectedMillis(CutCause cause) {
         return switch (cause) {
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/KeyLease.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/KeyLease.java
@@ -16,12 +16,12 @@
 package org.quilldyke.caller;
 
 /**
- * For how long an instance may take keys for good without hearing the control group.
+ * The time for which an instance may accept API keys without a confirmation by the control group.
  *
- * <p>A key that operators take away must be refused everywhere within a bound, also where no news
- * arrives. So an instance asks the group again and again; the group answers only after its leader
- * has confirmed with a majority that it leads. The lease runs from when the question was sent: all
- * that was accepted before then is known here.
+ * <p>A revoked key must be refused everywhere within a bound, also by instances that receive no
+ * updates. So each instance requests confirmations periodically; the control group answers only
+ * after its leader has confirmed its leadership with a majority. The lease starts when the request
+ * was sent, since all changes that were committed before then are known here.
  */
 public final class KeyLease {
     private final long mDurationMillis;
@@ -32,32 +32,33 @@
     }
 
     /**
-     * Returns a lease that isn't granted yet.
+     * Returns a lease that is not granted yet.
      *
-     * @param durationMillis how long it lasts; shorter than the bound for withdrawn keys, by more
+     * @param durationMillis how long it lasts; shorter than the bound for revoked keys, by more
      *     than a request takes to reach its target
      */
     public static KeyLease ofMillis(long durationMillis) {
         return new KeyLease(durationMillis);
     }
 
-    /** Notes an answer to the question that was sent at the given time. */
+    /** Records the confirmation that was requested at the given time. */
     public void onConfirmed(long sentAt) {
         mConfirmedAt = Math.max(mConfirmedAt, sentAt);
     }
 
-    /** Returns whether the lease was granted at any time. */
+    /** Returns whether the lease was ever granted. */
     public boolean wasGranted() {
         return mConfirmedAt != Long.MIN_VALUE;
     }
 
-    /** Returns whether keys may be taken for good at {@code now}. */
+    /** Returns whether keys may be accepted at the given time. */
     public boolean isValid(long now) {
         return mConfirmedAt != Long.MIN_VALUE && now - mConfirmedAt < mDurationMillis;
     }
 
     /**
-     * Returns the time since the last confirmed question was sent, {@link Long#MAX_VALUE} if none.
+     * Returns the time since the last confirmation was requested, {@link Long#MAX_VALUE} if there
+     * was none.
      */
     public long ageMillis(long now) {
         return mConfirmedAt == Long.MIN_VALUE ? Long.MAX_VALUE : now - mConfirmedAt;
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/LeaseClock.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/LeaseClock.java
@@ -16,15 +16,15 @@
 package org.quilldyke.caller;
 
 /**
- * Time by which leases end: the steady clock's, and the time for which the machine was suspended.
+ * Clock for leases: monotonic time plus the time for which the machine was suspended.
  *
- * <p>The steady clock stands still during a suspension, and the time of day doesn't. But the time
- * of day may also be set, which can't be told from a suspension; so what it gains on the steady
- * clock at once always counts as time that has passed. A lease then ends too early at worst, and is
- * renewed. Used by several threads.
+ * <p>The monotonic clock stops during a suspension, the wall clock does not. A jump of the wall
+ * clock may also be due to an adjustment, which cannot be distinguished from a suspension, so each
+ * forward jump relative to the monotonic clock counts as elapsed time. At worst a lease then ends
+ * too early and is renewed. This class is thread-safe.
  */
 public final class LeaseClock {
-    /** A smaller gain is that of a clock that is adjusted, or of the time between two readings. */
+    /** Smaller jumps are due to gradual clock adjustment or to the time between two readings. */
     static final long MIN_JUMP_MILLIS = 100;
 
     private long mSuspendedMillis;
@@ -33,16 +33,16 @@
 
     private LeaseClock() {}
 
-    /** Returns a clock that knows of no suspension. */
+    /** Returns a clock that has seen no suspension. */
     public static LeaseClock create() {
         return new LeaseClock();
     }
 
     /**
-     * Returns the present time in milliseconds; it never goes back.
+     * Returns the current time in milliseconds; it never decreases.
      *
-     * @param monotonicMillis the steady clock's time
-     * @param wallClockMillis the time of day, read after it
+     * @param monotonicMillis the time of the monotonic clock
+     * @param wallClockMillis the time of the wall clock, read after it
      */
     public synchronized long now(long monotonicMillis, long wallClockMillis) {
         long offset = wallClockMillis - monotonicMillis;
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/PoisonRequestDetector.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/PoisonRequestDetector.java
@@ -25,23 +25,23 @@
 import java.util.Set;
 
 /**
- * Which requests crash the targets that run them, concluded from what all instances have seen.
+ * Detects requests that crash the targets that run them, from the evidence of all instances.
  *
- * <p>A crash ends all that a target works on, so that each request there is a suspect. Of several
- * suspects of one crash the one that was at most crashes explains it, and the others are not
- * counted for it. A request that has run to its end shortly before a crash, or after it, did not
- * cause it. The request that remains as the explanation of {@link #MIN_CRASHES_TO_REFUSE} crashes
- * is refused everywhere for a while, unless others turn out to explain all of them. After that time
- * a single crash is enough, and each refusal lasts longer than the one before.
+ * <p>A crash interrupts all requests that a target works on, so each of them is a suspect. A crash
+ * is attributed to the suspect that was present at the most crashes and does not count for the
+ * others. A request that completed shortly before a crash, or after it, did not cause it. A request
+ * to which {@link #MIN_CRASHES_TO_REFUSE} crashes are attributed is refused everywhere for a
+ * limited time, unless others turn out to explain all of them. After that time a single crash is
+ * sufficient, and each refusal lasts longer than the previous one.
  *
- * <p>Instances that tell each other their evidence and their refusals come to the same conclusions,
- * in whatever order these came. The evidence is bounded: the oldest is dropped first.
+ * <p>Instances that exchange their evidence and refusals reach the same result, in whatever order
+ * it is received. The evidence is bounded: the oldest is dropped first.
  */
 public final class PoisonRequestDetector {
-    /** So many crashes that nothing else explains are a request's own. */
+    /** Number of crashes attributed to a request from which on it is refused. */
     static final int MIN_CRASHES_TO_REFUSE = 3;
 
-    /** A request that ran to its end this long before a crash at the most is not its cause. */
+    /** A request that completed at most this long before a crash did not cause it. */
     static final long RECENT_COMPLETION_MILLIS = 10_000;
 
     static final long FIRST_REFUSAL_MILLIS = 5 * 60_000;
@@ -53,13 +53,13 @@
 
     private static final int REFUSAL_GROWTH_FACTOR = 6;
 
-    /** From so many crashes on it matters to all whether a request runs to its end. */
+    /** From this number of crashes on, entries report whether the request completes. */
     private static final int MIN_CRASHES_TO_WATCH = 2;
 
-    /** For so long after a request's last crash it matters. */
+    /** How long after a request's last crash its completion is of interest. */
     private static final long WATCH_MILLIS = 60_000;
 
-    /** Two tellings of one refusal differ by the time that they took. */
+    /** Two reports of one refusal may differ by the time that they took to arrive. */
     private static final long MAX_REPORT_SKEW_MILLIS = 1000;
 
     private final Map<String, TargetCrash> mCrashes = new LinkedHashMap<>();
@@ -69,12 +69,12 @@
 
     private PoisonRequestDetector() {}
 
-    /** Returns a ledger without evidence. */
+    /** Returns a detector without evidence. */
     public static PoisonRequestDetector create() {
         return new PoisonRequestDetector();
     }
 
-    /** Takes a crash, or what more is known of one; returns whether it is news. */
+    /** Records a crash, or further requests of a known one; returns whether anything is new. */
     public boolean onCrash(TargetCrash crash) {
         TargetCrash known = mCrashes.get(crash.target());
         Set<RequestFingerprint> requests = new HashSet<>();
@@ -94,13 +94,13 @@
         return true;
     }
 
-    /** Notes that a request ran to its end; returns whether that is news. */
+    /** Records that a request completed; returns whether that is new. */
     public boolean onCompleted(RequestFingerprint request, long at) {
         Long known = mCompletedAt.get(request);
         if (known != null && known >= at) {
             return false;
         }
-        // Put anew, so that it is dropped after those that have not run for longer.
+        // Inserted again, so that the requests that completed longest ago are dropped first.
         mCompletedAt.remove(request);
         mCompletedAt.put(request, at);
         dropOldest(mCompletedAt, MAX_REQUESTS);
@@ -108,8 +108,8 @@
     }
 
     /**
-     * Takes a conclusion of another instance, or of this one before a restart; returns whether it
-     * is news.
+     * Accepts a refusal that another instance, or this one before a restart, has decided; returns
+     * whether it is new.
      */
     public boolean onSuspect(Suspect received) {
         Suspect known = mRefused.get(received.request());
@@ -125,7 +125,7 @@
         return isNew;
     }
 
-    /** Draws the conclusions from the evidence; returns those that have changed. */
+    /** Evaluates the evidence; returns the suspects whose state has changed. */
     public List<Suspect> evaluate(long now) {
         Evidence evidence = collectEvidence();
         Set<RequestFingerprint> requests = new HashSet<>(mRefused.keySet());
@@ -155,17 +155,17 @@
         return changes;
     }
 
-    /** Returns the conclusions that were drawn last. */
+    /** Returns the result of the last evaluation. */
     public List<Suspect> suspects() {
         return List.copyOf(mSuspects.values());
     }
 
-    /** Returns the crashes that are known. */
+    /** Returns the known crashes. */
     public List<TargetCrash> crashes() {
         return List.copyOf(mCrashes.values());
     }
 
-    /** Returns when requests ran to their ends. */
+    /** Returns when requests completed. */
     public Map<RequestFingerprint, Long> completions() {
         return Map.copyOf(mCompletedAt);
     }
@@ -217,14 +217,14 @@
         return suspect;
     }
 
-    /** Returns whether a request was sent on again and crashed one more target. */
+    /** Returns whether a request crashed another target after its refusal had expired. */
     private boolean hasCrashedAfterRefusal(Suspect refused, Set<String> attributed) {
         return attributed.stream()
                 .map(mCrashes::get)
                 .anyMatch(crash -> crash != null && crash.crashedAt() >= refused.refusedUntil());
     }
 
-    /** Returns the crashes that a request was at and that no other one explains better. */
+    /** Returns the crashes at which a request was present and that no other one explains better. */
     private Set<String> attributedCrashes(RequestFingerprint request, Evidence evidence) {
         Set<String> crashes = evidence.candidateCrashes(request);
         Set<String> attributed = new HashSet<>();
@@ -235,7 +235,7 @@
         }
         Suspect refused = mRefused.get(request);
         if (refused != null && !mCompletedAt.containsKey(request)) {
-            // Evidence that was dropped meanwhile, or that another instance holds.
+            // Evidence that was dropped meanwhile, or that only another instance has.
             refused.targets().stream()
                     .filter(target -> !mCrashes.containsKey(target))
                     .forEach(attributed::add);
@@ -270,11 +270,10 @@
     }
 
     /**
-     * What speaks against requests.
+     * Evidence against requests.
      *
      * @param crashesByRequest the targets whose crashes each request may have caused
-     * @param maxCrashesByTarget by target, at how many crashes that suspect of its own was that was
-     *     at most
+     * @param maxCrashesByTarget by target, the largest number of crashes of any of its suspects
      */
     private record Evidence(
             Map<RequestFingerprint, Set<String>> crashesByRequest,
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/Prompt.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/Prompt.java
@@ -22,8 +22,8 @@
  *
  * @param model the model that it is for
  * @param tokens the size of the whole prompt
- * @param maxOutputTokens how many tokens are generated at most
- * @param parts the parts in order; others may share them, but for the last
+ * @param maxOutputTokens the maximum number of generated tokens
+ * @param parts the parts in order; all but the last may be shared with other requests
  */
 public record Prompt(String model, int tokens, int maxOutputTokens, List<Part> parts) {
     /** Copies the parts. */
@@ -36,7 +36,7 @@
         return parts.isEmpty() ? parts : parts.subList(0, parts.size() - 1);
     }
 
-    /** Returns the number of tokens in the parts that others may share. */
+    /** Returns the number of tokens in the parts that other requests may share. */
     public int sharedTokens() {
         return sharedParts().stream().mapToInt(Part::tokens).sum();
     }
@@ -44,7 +44,7 @@
     /**
      * A part of a prompt.
      *
-     * @param id the same for equal parts
+     * @param id equal for equal parts
      * @param tokens its size
      */
     public record Part(long id, int tokens) {}
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/RequestFingerprint.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/RequestFingerprint.java
@@ -22,8 +22,9 @@
 import java.util.HexFormat;
 
 /**
- * Names a request by what it asks for: the first 128 bits of a SHA-256 over its caller, method,
- * host, path and body. Attempts at the same request have different ids and one fingerprint.
+ * Identifies a request by its content: the first 128 bits of a SHA-256 digest over its caller,
+ * method, host, path and body. Attempts at the same request have different ids and the same
+ * fingerprint.
  *
  * @param high the first 64 bits
  * @param low the next 64 bits
@@ -34,18 +35,18 @@
     /**
      * Returns the fingerprint of a request.
      *
-     * @param organisation whose key the caller showed, empty if it showed none
+     * @param organisation the organisation of the caller's key, empty without a key
      * @param method the method
-     * @param host the host that it names
+     * @param host the requested host
      * @param path the path with its query
-     * @param body the body, which is left unread
+     * @param body the body, whose position is not changed
      */
     public static RequestFingerprint of(
             String organisation, String method, String host, String path, ByteBuffer body) {
         MessageDigest digest = newDigest();
         for (String part : new String[] {organisation, method, host, path}) {
             byte[] bytes = part.getBytes(StandardCharsets.UTF_8);
-            // With its length, so that no two lists of parts are the same bytes.
+            // The length comes first, so that different lists of parts never give the same bytes.
             digest.update(ByteBuffer.allocate(Integer.BYTES).putInt(0, bytes.length));
             digest.update(bytes);
         }
@@ -54,7 +55,7 @@
         return new RequestFingerprint(hash.getLong(), hash.getLong());
     }
 
-    /** Returns its first half in hexadecimal, as the log names it. */
+    /** Returns the first half in hexadecimal, as used in logs. */
     public String label() {
         return HexFormat.of().toHexDigits(high);
     }
@@ -63,7 +64,7 @@
         try {
             return MessageDigest.getInstance(ALGORITHM);
         } catch (NoSuchAlgorithmException e) {
-            throw new AssertionError("each Java platform has it", e);
+            throw new AssertionError("every Java platform has SHA-256", e);
         }
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/RestartReport.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/RestartReport.java
@@ -18,35 +18,37 @@
 import org.quilldyke.routing.TargetSelector;
 
 /**
- * Control's word that a target has started again, judged by what is heard of an answer that had
- * begun there.
+ * A report by the control group that a target has restarted, checked against the data that still
+ * arrives on an answer that the target had started.
  *
- * <p>Whoever reports under a target's id with a later birth makes that word, and needn't be right.
- * A target that has ended sends nothing, but for what was on its way.
+ * <p>Such a report results from any process that registers under the id of a target with a later
+ * start time, and may be wrong. A target that has ended sends nothing, apart from data that was
+ * already in transit.
  *
- * @param receivedAt when the word came
+ * @param receivedAt when the report was received
  */
 public record RestartReport(long receivedAt) {
     /**
-     * Milliseconds without a sign after which the word is believed, and after which what comes
-     * can't have been on its way when the word came: as long as a target that was heard counts as
-     * alive.
+     * Time without data after which the report is accepted, and after which received data cannot
+     * have been in transit when the report was received: as long as a target that has sent data
+     * counts as responding.
      */
     static final long VERIFICATION_MILLIS = TargetSelector.RESPONDING_MILLIS;
 
     /**
-     * Returns whether the target goes on with its answer: then its silence counts as anyone's.
+     * Returns whether data that cannot have been in transit shows that the target continues its
+     * answer. The report is then ignored, and the usual limit for unresponsive targets applies.
      *
-     * @param lastDataAt when it was heard last on this answer
+     * @param lastDataAt when data was last received on this answer
      */
     public boolean isRefuted(long lastDataAt) {
         return lastDataAt - receivedAt >= VERIFICATION_MILLIS;
     }
 
     /**
-     * Returns when the word is believed if nothing more is heard.
+     * Returns when the report is accepted if no more data is received.
      *
-     * @param lastDataAt when the target was heard last on this answer
+     * @param lastDataAt when data was last received on this answer
      */
     public long acceptedAt(long lastDataAt) {
         return Math.max(receivedAt, lastDataAt) + VERIFICATION_MILLIS;
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/ResumeBackoff.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/ResumeBackoff.java
@@ -18,15 +18,15 @@
 import java.util.OptionalLong;
 
 /**
- * When a stream under way that has lost its target may try to go on elsewhere.
+ * When a started stream that has lost its target may try to resume at another one.
  *
- * <p>Each try takes a second attempt that all requests share. Those that are in vain come at longer
- * and longer distances, as long as the stream's caller waits.
+ * <p>Each attempt uses the retry budget that all requests share. The delay between failed attempts
+ * grows exponentially, as long as the caller of the stream waits.
  */
 final class ResumeBackoff {
     private static final long POLL_MILLIS = 20;
 
-    /** Only these may follow each other at once. */
+    /** Number of attempts without a delay between them. */
     private static final int IMMEDIATE_ATTEMPTS = 2;
 
     private static final int MAX_DOUBLINGS = 5;
@@ -36,7 +36,7 @@
     private int mAttempts;
     private long mNextAttemptAt;
 
-    /** Notes that its target is lost, or the one that was to go on. */
+    /** Records that the stream has lost its target, or the one at which it was to resume. */
     void onInterrupted(long now) {
         if (!mInterrupted) {
             mInterrupted = true;
@@ -46,12 +46,12 @@
         }
     }
 
-    /** Notes that its events come again. */
+    /** Records that events arrive again. */
     void onEvent() {
         mInterrupted = false;
     }
 
-    /** Notes that it is sent to another target. */
+    /** Records that the stream is sent to another target. */
     void onAttempt(long now) {
         mAttempts++;
         if (mAttempts >= IMMEDIATE_ATTEMPTS) {
@@ -59,16 +59,17 @@
         }
     }
 
-    /** Returns whether it may be sent to another target now. */
+    /** Returns whether the stream may be sent to another target now. */
     boolean mayAttempt(long now) {
         return now >= mNextAttemptAt;
     }
 
     /**
-     * Returns when to look next whether it can go on, empty if its caller has waited long enough.
+     * Returns when to check again whether the stream can resume; empty if its caller has waited
+     * long enough.
      *
-     * @param callerTimeoutMillis for how long its caller waits for an event
-     * @param deadline when its own time is over
+     * @param callerTimeoutMillis how long the caller waits for an event
+     * @param deadline the deadline of the request
      */
     OptionalLong nextCheckAt(long callerTimeoutMillis, long deadline, long now) {
         long until = Math.min(mInterruptedAt + callerTimeoutMillis, deadline);
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/RetryBudget.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/RetryBudget.java
@@ -16,10 +16,10 @@
 package org.quilldyke.caller;
 
 /**
- * Bounds the retries of an instance to a share of its requests, so that they can't amplify an
+ * Limits the retries of an instance to a fraction of its requests, so that they cannot amplify an
  * overload.
  *
- * <p>Each request adds the share to a reserve of limited size, each retry takes one from it.
+ * <p>A token bucket: each request adds a fraction of a token up to a maximum, each retry takes one.
  */
 public final class RetryBudget {
     private final double mTokensPerRequest;
@@ -33,21 +33,21 @@
     }
 
     /**
-     * Returns a budget with a full reserve.
+     * Returns a budget with the maximum number of tokens.
      *
-     * @param tokensPerRequest retries allowed for each request in the long run
-     * @param maxTokens retries allowed at once after a quiet time
+     * @param tokensPerRequest retries allowed per request in the long run
+     * @param maxTokens retries allowed in a burst
      */
     public static RetryBudget create(double tokensPerRequest, double maxTokens) {
         return new RetryBudget(tokensPerRequest, maxTokens);
     }
 
-    /** Notes a new request. */
+    /** Adds the tokens of a new request. */
     public synchronized void onRequest() {
         mTokens = Math.min(mMaxTokens, mTokens + mTokensPerRequest);
     }
 
-    /** Takes one retry from the reserve; returns false, and takes nothing, if there is none. */
+    /** Takes a token for a retry; returns false, and takes nothing, if none is left. */
     public synchronized boolean tryAcquire() {
         if (mTokens < 1) {
             return false;
@@ -56,7 +56,7 @@
         return true;
     }
 
-    /** Gives back what was taken for a retry that has not run. */
+    /** Puts back the token of a retry that was not run. */
     public synchronized void release() {
         mTokens = Math.min(mMaxTokens, mTokens + 1);
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/RunDurationBound.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/RunDurationBound.java
@@ -17,18 +17,20 @@
 
 import java.util.OptionalDouble;
 
-/** The slowest of the last runs of one kind, with a margin for those that are slower still. */
+/**
+ * Upper bound for the duration of runs of one kind: the longest of the last runs, with a margin.
+ */
 final class RunDurationBound {
-    /** Some minutes of one instance's streams; a slow engine is forgotten with them. */
+    /** A few minutes of one instance's streams, after which a slow engine no longer counts. */
     private static final int MAX_SAMPLES = 256;
 
-    /** Before so many whole runs were seen, nothing is taken as learnt. */
+    /** With fewer completed runs there is no bound. */
     private static final int MIN_COMPLETED_RUNS = 40;
 
     /**
-     * Lengths are spread over a factor of four above their median (log-normal, sigma 0.7, cut off
-     * at four times the median): the longest of forty is below two thirds of that for one in
-     * twenty. Paces are spread by less: the slowest of a hundred is twice the median.
+     * Lengths have a log-normal distribution (sigma 0.7), truncated at four times the median; the
+     * longest of 40 runs is below two thirds of that maximum in one case in twenty. Event intervals
+     * vary less: the slowest of 100 is twice the median.
      */
     private static final double MARGIN = 1.5;
 
@@ -36,15 +38,18 @@
     private int mSamples;
     private int mCompletedRuns;
 
-    /** Takes how long a run lasted, in milliseconds of whatever its kind is measured by. */
+    /**
+     * Records the duration of a completed run, in milliseconds per unit that the kind is measured
+     * by.
+     */
     void onCompleted(double millis) {
         mCompletedRuns++;
         addSample(millis);
     }
 
     /**
-     * Takes how long a run lasted until it broke off: one that is shorter than others tells nothing
-     * of how long runs last.
+     * Records the duration of an interrupted run until it ended. It is only a lower bound, so one
+     * that is shorter than others is ignored.
      */
     void onInterrupted(double millis) {
         if (millis > longest()) {
@@ -52,7 +57,7 @@
         }
     }
 
-    /** Returns how long a run lasts at most; nothing as long as too few were seen. */
+    /** Returns the upper bound; empty if too few runs have completed. */
     OptionalDouble upperBound() {
         return mCompletedRuns < MIN_COMPLETED_RUNS
                 ? OptionalDouble.empty()
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/RunHistory.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/RunHistory.java
@@ -21,10 +21,11 @@
 import org.quilldyke.routing.TargetState;
 
 /**
- * Where one request has run, and who may run it now.
+ * The targets that have run one request, and the targets that may run it now.
  *
- * <p>What is bounded is the number of targets that run a request. One that was left at work, by
- * choice, may go on with it: its turn was taken from it, not spent by a failure.
+ * <p>The number of targets that run a request is limited. Once the limit is reached, only a target
+ * whose run was abandoned by choice while in progress may run the request again, since its attempt
+ * has not failed.
  */
 final class RunHistory {
     private final int mMaxTargets;
@@ -33,51 +34,53 @@
     private final Set<String> mUnavailable = new HashSet<>();
 
     /**
-     * Makes a history without runs.
+     * Returns a history without runs.
      *
-     * @param maxTargets how many targets may run the request
+     * @param maxTargets the number of targets that may run the request
      */
     RunHistory(int maxTargets) {
         mMaxTargets = maxTargets;
     }
 
-    /** Notes that a target runs the request, or may; returns whether it is the first time. */
+    /**
+     * Records that a target runs the request, or may run it; returns whether it is the first time.
+     */
     boolean onRun(String target) {
         return mRunTargets.add(target);
     }
 
-    /** Notes that a target has not run the request, though it was sent there. */
+    /** Records that a target has not run the request although it was sent there. */
     void onNotRun(String target) {
         mRunTargets.remove(target);
     }
 
-    /** Notes that a target was left though it may be at work. */
+    /** Records that a run was abandoned although the target may still work on it. */
     void onLeftRunning(String target) {
         mLeftRunning.add(target);
     }
 
-    /** Notes that a target can't be reached, or refused the request: another time it may not. */
+    /** Records that a target is unreachable or has refused the request, which may be temporary. */
     void onUnavailable(String target) {
         mUnavailable.add(target);
     }
 
-    /** Notes that a target failed the request. */
+    /** Records that a target failed the request. */
     void onFailed(String target) {
         mLeftRunning.remove(target);
         mUnavailable.add(target);
     }
 
-    /** Gives those that refused or failed another chance, as far as they may run the request. */
+    /** Makes the unavailable targets eligible again, as far as they may run the request. */
     void clearUnavailable() {
         mUnavailable.clear();
     }
 
-    /** Returns at how many targets the request has run, or may have. */
+    /** Returns the number of targets that have run the request, or may have run it. */
     int runCount() {
         return mRunTargets.size();
     }
 
-    /** Returns those that were found unfit, for the log. */
+    /** Returns the unavailable targets, for the log. */
     Set<String> unavailable() {
         return Set.copyOf(mUnavailable);
     }
@@ -87,12 +90,12 @@
         return mRunTargets.size() < mMaxTargets;
     }
 
-    /** Returns whether any target may run the request, once it is fit. */
+    /** Returns whether any target may run the request once it is available. */
     boolean mayRunAnywhere() {
         return mayRunOnAnother() || !mLeftRunning.isEmpty();
     }
 
-    /** Returns who may not run the request, of all targets that are known. */
+    /** Returns which of the known targets must not run the request now. */
     Set<String> excludedTargets(Collection<TargetState> known) {
         Set<String> excluded = new HashSet<>(mUnavailable);
         for (TargetState target : known) {
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/ServiceRetryBudget.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/ServiceRetryBudget.java
@@ -19,16 +19,17 @@
 import java.util.Map;
 
 /**
- * An instance's part of the second attempts that all instances together may make on a service.
+ * The share of one instance in the retries that all instances together may send to a service.
  *
- * <p>In any window of time, a service may get a share of its requests as second attempts, and a
- * fixed number besides, which the instances divide among them.
+ * <p>In any time window, a service may receive retries up to a fraction of its requests plus a
+ * fixed number, which is divided among the instances.
  */
 public final class ServiceRetryBudget {
     private static final int BUCKETS = 20;
 
     /**
-     * The part of the allowance that is used: other instances may count one less than there are.
+     * Fraction of the budget that is used, since other instances may count one instance less than
+     * there are.
      */
     private static final double USED_FRACTION = 0.8;
 
@@ -47,29 +48,29 @@
     }
 
     /**
-     * Returns an allowance of which nothing is used.
+     * Returns an unused budget.
      *
-     * @param retriesPerRequest second attempts for each request
-     * @param fixedRetries second attempts in a window besides, for all instances together
+     * @param retriesPerRequest retries per request
+     * @param fixedRetries additional retries per window, for all instances together
      * @param windowMillis the length of a window
-     * @param instances how many instances divide the fixed part as long as nothing is known
+     * @param instances the number of instances that is assumed until it is known
      */
     public static ServiceRetryBudget create(
             double retriesPerRequest, double fixedRetries, long windowMillis, int instances) {
         return new ServiceRetryBudget(retriesPerRequest, fixedRetries, windowMillis, instances);
     }
 
-    /** Takes the number of instances that divide the fixed part. */
+    /** Sets the number of instances among which the fixed retries are divided. */
     public void onInstanceCount(int instances) {
         mInstances = Math.max(1, instances);
     }
 
-    /** Notes a request for a service. */
+    /** Records a request for a service. */
     public void onRequest(String service, long now) {
         window(service, now).mRequests[bucketIndex(now)]++;
     }
 
-    /** Takes a second attempt on a service; returns false, and takes nothing, if none is left. */
+    /** Takes a retry for a service; returns false, and takes nothing, if none is available. */
     public boolean tryAcquire(String service, long now) {
         if (!hasAvailable(service, 1, now)) {
             return false;
@@ -78,12 +79,12 @@
         return true;
     }
 
-    /** Returns whether so many second attempts on a service are left. */
+    /** Returns whether the given number of retries for a service is available. */
     public boolean hasAvailable(String service, int retries, long now) {
         return retries <= available(service, now);
     }
 
-    /** Returns how many second attempts on a service are left; less than 0 if fewer than none. */
+    /** Returns the number of retries available for a service; negative if too many were taken. */
     public double available(String service, long now) {
         Window window = window(service, now);
         double allowed = mRetriesPerRequest * sum(window.mRequests) + mFixedRetries / mInstances;
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/ShutdownAdmission.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/ShutdownAdmission.java
@@ -23,24 +23,25 @@
 import org.quilldyke.manifest.RequestKind;
 
 /**
- * Which requests an instance still takes while it shuts down: those that end before it has to.
+ * Decides which requests an instance still admits while it shuts down: those that end before its
+ * shutdown deadline.
  *
- * <p>Until the balancer has noticed, callers still come, and the instance has a few seconds less
- * than a stream may last. A stream that it took and couldn't finish would be cut amid its answer;
- * one that is refused at once may be served by another instance. What a request lasts is learnt
- * from those that ended: streams by their pace and the events that they might have had, since most
- * use a small part of their allowance; others by themselves. One object for all requests of an
- * instance, used by one thread.
+ * <p>Until the load balancer has noticed the shutdown, callers still connect, and the time left is
+ * a few seconds shorter than a stream may last. A stream that cannot complete would be aborted in
+ * the middle of its answer; one that is refused immediately may be served by another instance. The
+ * duration of requests is estimated from completed ones: for streams from the event interval and
+ * the maximum number of events, since most use only a small part of their token limit; for other
+ * requests from their durations. One object serves all requests of an instance. Not thread-safe.
  */
 public final class ShutdownAdmission {
     private static final long NOT_SHUTTING_DOWN = Long.MAX_VALUE;
 
-    /** A refused caller comes back at once: an instance that goes on serves it in time. */
+    /** A refused caller may retry immediately: another instance serves it in time. */
     private static final long RETRY_AFTER_MILLIS = 1;
 
     /**
-     * What a token is taken to last as long as nothing is learnt: an engine's step that reads 4,096
-     * tokens of a prompt at 57 a millisecond, and 8 ms for the rest.
+     * Assumed time per token until durations are known: an engine step that processes 4,096 prompt
+     * tokens at 57 per millisecond, plus 8 ms for the rest.
      */
     private static final double DEFAULT_MILLIS_PER_TOKEN = 80;
 
@@ -51,12 +52,12 @@
 
     private ShutdownAdmission() {}
 
-    /** Returns the admission of an instance that runs, and takes everything. */
+    /** Returns the admission of a running instance, which admits everything. */
     public static ShutdownAdmission create() {
         return new ShutdownAdmission();
     }
 
-    /** Notes that the instance shuts down and has to end at a given time. */
+    /** Records that the instance shuts down and has to end at the given time. */
     public void onShutdown(long deadline) {
         mShutdownDeadline = deadline;
     }
@@ -66,16 +67,16 @@
         return mShutdownDeadline != NOT_SHUTTING_DOWN;
     }
 
-    /** Returns when the instance has to end; never if it doesn't shut down. */
+    /** Returns the shutdown deadline; {@link Long#MAX_VALUE} if the instance does not shut down. */
     long shutdownDeadline() {
         return mShutdownDeadline;
     }
 
     /**
-     * Returns whether a request is taken: its own time is over before the instance ends, or its
-     * answer is expected to be.
+     * Returns whether a request is admitted: its own deadline is before the shutdown deadline, or
+     * its answer is expected to end before it.
      *
-     * @param firstEventMillis when its first event is expected
+     * @param firstEventMillis the expected time to its first event
      */
     public boolean admits(ForwardRequest request, long firstEventMillis, long now) {
         return !isShuttingDown()
@@ -83,27 +84,28 @@
                 || now + firstEventMillis + maxMillis(request) <= mShutdownDeadline;
     }
 
-    /** Returns the refusal of a request that isn't taken. */
+    /** Returns the refusal of a request that is not admitted. */
     public Step.Refuse refusal(long now) {
         return new Step.Refuse(
                 ResultCode.SHUTTING_DOWN,
                 RETRY_AFTER_MILLIS,
-                "ends in " + (mShutdownDeadline - now) + " ms");
+                "shuts down in " + (mShutdownDeadline - now) + " ms");
     }
 
     /**
-     * Takes how long a whole answer lasted.
+     * Records the duration of a complete answer.
      *
-     * @param events how many events it had, 0 if it is no stream
-     * @param millis from its first event, or from its sending if it is no stream, to its end
+     * @param events the number of its events, 0 if it is not a stream
+     * @param millis the time from its first event to its end, or from its sending if it is not a
+     *     stream
      */
     public void onCompleted(ForwardRequest request, int events, long millis) {
         if (isMeasuredByEvents(request) && events == 0) {
-            // A whole answer where a stream was due says nothing of streams.
+            // A plain answer on a streaming route gives no information about streams.
             return;
         }
         if (request.resumeAfterEvent() >= 0) {
-            // A part of an answer alone, which says of whole ones as much as one that broke off.
+            // Only the rest of an answer was received, so it counts like an interrupted one.
             onInterrupted(request, events, millis);
         } else if (isMeasuredByEvents(request)) {
             streamBound(request).onCompleted(maxTokens(request), events, millis);
@@ -113,10 +115,11 @@
     }
 
     /**
-     * Takes how long an answer lasted until it broke off: it would have lasted longer.
+     * Records the duration of an interrupted answer, which would have lasted longer.
      *
-     * @param events how many events it had, 0 if none had come
-     * @param millis from its first event to its last, or from its sending if none had come
+     * @param events the number of its events, 0 if none had arrived
+     * @param millis the time from its first event to its last, or from its sending if none had
+     *     arrived
      */
     public void onInterrupted(ForwardRequest request, int events, long millis) {
         if (!isMeasuredByEvents(request)) {
@@ -127,10 +130,10 @@
     }
 
     /**
-     * Returns how many events an answer is likely to have, if that is known; where too few were
-     * seen, how many it has at most.
+     * Returns the likely number of events of an answer, or the maximum if too few answers have been
+     * seen; empty if it is not measured by events.
      *
-     * @param events how many it has had
+     * @param events the number of events received so far
      */
     OptionalInt likelyEvents(ForwardRequest request, int events) {
         return isMeasuredByEvents(request)
@@ -138,7 +141,10 @@
                 : OptionalInt.empty();
     }
 
-    /** A stream that goes on after an event is taken for a whole one: its rest isn't known. */
+    /**
+     * A stream that resumes after an event counts as a whole one, since the number of its remaining
+     * events is unknown.
+     */
     private double maxMillis(ForwardRequest request) {
         int maxTokens = maxTokens(request);
         OptionalDouble bound =
@@ -158,7 +164,10 @@
                 : OptionalDouble.of(maxPerToken.getAsDouble() * Math.max(1, maxTokens));
     }
 
-    /** Answers without events are measured by the tokens that they may have, or by themselves. */
+    /**
+     * Answers without events are measured per token of their limit, or as a whole if they have
+     * none.
+     */
     private static double perToken(ForwardRequest request, long millis) {
         return (double) millis / Math.max(1, maxTokens(request));
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/ShutdownMigration.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/ShutdownMigration.java
@@ -27,10 +27,11 @@
 import org.quilldyke.routing.TargetSelector;
 
 /**
- * Where a stream under way goes on so that it ends before its instance has to.
+ * Chooses where a started stream continues so that it ends before the shutdown deadline of its
+ * instance.
  *
- * <p>A target that took too long to begin held the events up and would again: it isn't asked once
- * more. One that refused the stream unrun is.
+ * <p>A target that did not start in time has delayed the events and would do so again, so it is not
+ * asked again. A target that refused the stream without running it is.
  */
 final class ShutdownMigration {
     private final ForwardRequest mRequest;
@@ -46,19 +47,18 @@
         mShutdown = shutdown;
     }
 
-    /** Notes that an event was passed on. */
     void onEventRelayed() {
         mRelayedEvents++;
     }
 
-    /** Notes that a target is asked to go on. */
+    /** Records that a target is asked to continue the stream. */
     void onAsked(String target) {
         mAsked.add(target);
     }
 
     /**
-     * Notes that a target that was asked has refused the stream unrun. It may have room in a
-     * moment, and the stream is cut if nobody has: it is asked again, at growing distances.
+     * Records that a target has refused the stream without running it. It may have capacity soon,
+     * and the stream is aborted if no target has, so the target is asked again with growing delays.
      */
     void onRefused(String target, long now) {
         mAsked.remove(target);
@@ -66,18 +66,18 @@
     }
 
     /**
-     * Returns who has to be asked now; nothing if the stream stays where it is.
+     * Returns the target that has to be asked now; empty if the stream stays.
      *
-     * @param current the target that makes the stream
-     * @param ineligible those that may not go on with it
+     * @param current the target that sends the stream
+     * @param ineligible the targets that must not continue it
      */
     Optional<Choice> fasterTarget(String current, Set<String> ineligible, long now) {
         long deadline = mShutdown.shutdownDeadline();
-        OptionalDouble pace = mTargets.eventIntervalMillis(current, now);
-        if (mRequest.deadline() <= deadline || pace.isEmpty()) {
+        OptionalDouble intervalMillis = mTargets.eventIntervalMillis(current, now);
+        if (mRequest.deadline() <= deadline || intervalMillis.isEmpty()) {
             return Optional.empty();
         }
-        StreamForecast forecast = forecast(pace.getAsDouble(), now);
+        StreamForecast forecast = forecast(intervalMillis.getAsDouble(), now);
         Set<String> excluded = new HashSet<>(ineligible);
         excluded.addAll(mAsked);
         mRefusals.forEach(
@@ -91,24 +91,27 @@
                 .map(SuccessorChoice::choice);
     }
 
-    /** A stream that its caller had resumed is taken for a whole one: its rest isn't known. */
-    private StreamForecast forecast(double paceMillis, long now) {
+    /**
+     * A stream that its caller had resumed counts as a whole one, since the number of its remaining
+     * events is unknown.
+     */
+    private StreamForecast forecast(double intervalMillis, long now) {
         OptionalInt likely = mShutdown.likelyEvents(mRequest, mRelayedEvents);
         return likely.isPresent()
-                ? StreamForecast.of(likely.getAsInt() - mRelayedEvents, paceMillis)
-                : StreamForecast.untilDeadline(mRequest.deadline() - now, paceMillis);
+                ? StreamForecast.of(likely.getAsInt() - mRelayedEvents, intervalMillis)
+                : StreamForecast.untilDeadline(mRequest.deadline() - now, intervalMillis);
     }
 
     /**
-     * How often a target has refused the stream.
+     * The refusals of a stream by one target.
      *
-     * @param count how many times
-     * @param retryAt when it may be asked again
+     * @param count the number of refusals
+     * @param retryAt when the target may be asked again
      */
     private record Refusals(int count, long retryAt) {
         /**
-         * A line that was full moves on within this time; doubled with each refusal, a stream asks
-         * one target five times in the 7.8 s of a shutdown, each for a second attempt.
+         * A full queue advances within this time. Doubled with each refusal, a stream asks one
+         * target five times in the 7.8 s of a shutdown, each time for one retry of the budget.
          */
         private static final long FIRST_RETRY_DELAY_MILLIS = 200;
 
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/StartUpWait.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/StartUpWait.java
@@ -16,27 +16,28 @@
 package org.quilldyke.caller;
 
 /**
- * Whether a request waits at an instance that has just started and knows nothing yet.
+ * Decides whether a request waits at an instance that has just started and has no configuration
+ * yet.
  *
- * <p>Processes that were killed together know the configuration again within a second. A caller
- * that is refused meanwhile has used up one of its few tries; one that waits for a moment is
+ * <p>Processes that were killed together have the configuration again within a second. A caller
+ * that is refused in the meantime has used one of its few attempts; one that waits for a moment is
  * served.
  */
 public final class StartUpWait {
-    /** An instance that knows nothing after this has more in its way than a start. */
+    /** An instance without configuration after this time has another problem than its start. */
     static final long MAX_WAIT_MILLIS = 700;
 
-    /** The part of its time that a request may spend on waiting. */
+    /** Fraction of its remaining time that a request may wait. */
     static final double MAX_WAIT_FRACTION = 0.25;
 
     private StartUpWait() {}
 
     /**
-     * Returns whether a request may wait on.
+     * Returns whether a request may continue to wait.
      *
-     * @param arrivedAt when it came
-     * @param millisLeft how long its caller waited then for an answer at the most
-     * @param now the present time
+     * @param arrivedAt when it arrived
+     * @param millisLeft how long its caller would wait for an answer at most, from its arrival
+     * @param now the current time
      */
     public static boolean mayWait(long arrivedAt, long millisLeft, long now) {
         return now - arrivedAt
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/Step.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/Step.java
@@ -18,43 +18,44 @@
 import org.quilldyke.ResultCode;
 import org.quilldyke.routing.Choice;
 
-/** What to do next for a request. */
+/** The next step for a request. */
 public sealed interface Step {
     /**
      * Send the request to a target.
      *
-     * @param choice the target, and why
-     * @param millisLeft for how long the target may work on it
-     * @param resumeAfterEvent the event after which the stream goes on, -1 to begin at the start
+     * @param choice the target, and why it was chosen
+     * @param millisLeft how long the target may work on it
+     * @param resumeAfterEvent the event after which the stream continues, -1 to start at the
+     *     beginning
      */
     record Send(Choice choice, long millisLeft, long resumeAfterEvent) implements Step {}
 
-    /** Wait for a target; ask again at the given time. */
+    /** Wait for a target, and ask again at the given time. */
     record Wait(long until) implements Step {}
 
-    /** Wait for the successor, which was asked while the run before it still went on. */
+    /** Wait for the successor, which was asked while the previous run was still in progress. */
     record AwaitSuccessor() implements Step {}
 
-    /** Pass the target's answer on to the caller. */
+    /** Relay the target's answer to the caller. */
     record Relay() implements Step {}
 
     /**
-     * Tell the caller that the request was not run and never will be.
+     * Report to the caller that the request was not run and will not be.
      *
      * @param code why
-     * @param retryAfterMillis when the caller may try again, 0 if nothing is known
-     * @param detail what was known of targets, for the log
+     * @param retryAfterMillis when the caller may retry, 0 if unknown
+     * @param detail what was known about the targets, for the log
      */
     record Refuse(ResultCode code, long retryAfterMillis, String detail) implements Step {}
 
-    /** Tell the caller that no answer will come, though the request may have run. */
+    /** Report to the caller that no answer will follow although the request may have run. */
     record Fail(ResultCode code) implements Step {}
 
     /**
-     * Cut the caller's connection, so that the part of an answer that it has is no whole one.
+     * Abort the caller's connection, so that a partial answer is not mistaken for a complete one.
      *
-     * @param code what can't be done any more
-     * @param cause why the answer's last run was left
+     * @param code the failure
+     * @param cause why the last run of the answer ended
      */
     record Abort(ResultCode code, CutCause cause) implements Step {}
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/StreamCursor.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/StreamCursor.java
@@ -19,10 +19,10 @@
 import org.quilldyke.QuilldykeException;
 
 /**
- * The place up to which an answer was relayed.
+ * The position up to which an answer was relayed.
  *
- * <p>Lets each chunk through once and in order, and only if it belongs to the request and to its
- * present attempt.
+ * <p>Accepts each chunk once and in order, and only if it belongs to the request and to its current
+ * attempt.
  */
 public final class StreamCursor {
     private final String mRequest;
@@ -43,24 +43,24 @@
         return new StreamCursor(request, 0, 0);
     }
 
-    /** Returns a cursor inside an answer, for a caller that reconnects. */
+    /** Returns a cursor within an answer, for a caller that reconnects. */
     public static StreamCursor resumeAt(String request, int attempt, int nextPosition) {
         return new StreamCursor(request, attempt, nextPosition);
     }
 
-    /** Starts the next attempt, which goes on at {@link #nextPosition}; returns its number. */
+    /** Starts the next attempt, which continues at {@link #nextPosition}; returns its number. */
     public int startAttempt() {
         mAttemptsStarted++;
         mAttempt = mAttemptsStarted;
         return mAttempt;
     }
 
-    /** Goes on with an earlier attempt; the next one to start still gets a number of its own. */
+    /** Continues with an earlier attempt; the next one to start still gets a number of its own. */
     public void returnToAttempt(int attempt) {
         mAttempt = attempt;
     }
 
-    /** Returns what to do with a chunk; one that is accepted moves the cursor. */
+    /** Returns what to do with a chunk; advances the cursor if it is accepted. */
     public Verdict accept(ChunkId id) throws QuilldykeException {
         if (id == null || !id.request().equals(mRequest) || id.attempt() != mAttempt) {
             return Verdict.CROSSED;
@@ -71,17 +71,19 @@
         if (id.position() > mNextPosition) {
             return Verdict.GAP;
         }
-        Invariant.check(!mFinished, "nothing follows the end of an answer");
+        Invariant.check(!mFinished, "no chunk follows the end of an answer");
         mNextPosition++;
         return Verdict.NEXT;
     }
 
-    /** Notes that the last accepted chunk ends the answer. */
+    /** Records that the last accepted chunk ends the answer. */
     public void finish() {
         mFinished = true;
     }
 
-    /** Notes that the answer ends at {@link #nextPosition} with a chunk made here. */
+    /**
+     * Records that the answer ends at {@link #nextPosition} with a chunk created by this instance.
+     */
     public void finishWithLocalChunk() {
         mNextPosition++;
         mFinished = true;
@@ -97,17 +99,17 @@
         return mNextPosition;
     }
 
-    /** Returns the present attempt, 0 before the first. */
+    /** Returns the current attempt, 0 before the first. */
     public int attempt() {
         return mAttempt;
     }
 
-    /** Returns how many attempts were started, 0 before the first. */
+    /** Returns the number of attempts started, 0 before the first. */
     public int attemptsStarted() {
         return mAttemptsStarted;
     }
 
-    /** Returns the request. */
+    /** Returns the id of the request. */
     public String request() {
         return mRequest;
     }
@@ -116,7 +118,7 @@
     public enum Verdict {
         /** Relay it. */
         NEXT,
-        /** Drop it: relayed before. */
+        /** Drop it: it was relayed before. */
         REPEATED,
         /** Drop it: it belongs to another request or to an earlier attempt. */
         CROSSED,
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/StreamDurationBound.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/StreamDurationBound.java
@@ -17,51 +17,61 @@
 
 import java.util.OptionalDouble;
 
-/** How long a stream of one service may last: the most events at the slowest pace seen. */
+/**
+ * Upper bound for the duration of a stream of one service: the maximum number of events at the
+ * longest event interval seen.
+ */
 final class StreamDurationBound {
     /**
-     * A pause of some hundred milliseconds says little of the pace: it counts as spread over so
-     * many events, also where there were fewer.
+     * A pause of some hundred milliseconds says little about the interval of a short stream, so its
+     * duration is divided by at least this number of events.
      */
-    private static final int MIN_PACE_EVENTS = 10;
+    private static final int MIN_INTERVAL_EVENTS = 10;
 
-    private final RunDurationBound mPaceBound = new RunDurationBound();
+    private final RunDurationBound mIntervalBound = new RunDurationBound();
     private final EventCountBound mEventCountBound = new EventCountBound();
     private final EventCountEstimator mEventCountEstimator = new EventCountEstimator();
 
-    /** Takes a whole stream, from its first event to its end. */
+    /** Records a complete stream, from its first event to its end. */
     void onCompleted(int maxTokens, int events, long millis) {
         mEventCountBound.onAnswer(maxTokens, events);
         mEventCountEstimator.onCompleted(maxTokens, events);
-        mPaceBound.onCompleted(paceMillis(events, millis));
+        mIntervalBound.onCompleted(eventIntervalMillis(events, millis));
     }
 
-    /** Takes a part of a stream, from its first event to its last. */
+    /** Records an interrupted stream, from its first event to its last. */
     void onInterrupted(int maxTokens, int events, long millis) {
         mEventCountBound.onAnswer(maxTokens, events);
-        mPaceBound.onInterrupted(paceMillis(events, millis));
+        mIntervalBound.onInterrupted(eventIntervalMillis(events, millis));
     }
 
-    /** Returns how many events a stream with the given allowance has at most. */
+    /** Returns the maximum number of events in a stream with the given token limit. */
     int maxEvents(int maxTokens) {
         return mEventCountBound.maxEvents(maxTokens);
     }
 
-    /** Returns how many events a stream is likely to have that has had some, or else at most. */
+    /**
+     * Returns the likely number of events of a stream after those received so far; the maximum if
+     * it cannot be estimated.
+     */
     int likelyEvents(int maxTokens, int events) {
         return mEventCountEstimator.likelyEvents(maxTokens, events).orElse(maxEvents(maxTokens));
     }
 
-    /** Returns how long such a stream lasts at most; nothing as long as too few were seen. */
+    /**
+     * Returns the maximum duration of a stream with the given token limit; empty if too few were
+     * seen.
+     */
     OptionalDouble maxMillis(int maxTokens) {
-        OptionalDouble paceMillis = mPaceBound.upperBound();
-        return paceMillis.isEmpty()
-                ? paceMillis
+        OptionalDouble maxIntervalMillis = mIntervalBound.upperBound();
+        return maxIntervalMillis.isEmpty()
+                ? maxIntervalMillis
                 : OptionalDouble.of(
-                        paceMillis.getAsDouble() * Math.max(MIN_PACE_EVENTS, maxEvents(maxTokens)));
+                        maxIntervalMillis.getAsDouble()
+                                * Math.max(MIN_INTERVAL_EVENTS, maxEvents(maxTokens)));
     }
 
-    private static double paceMillis(int events, long millis) {
-        return (double) millis / Math.max(MIN_PACE_EVENTS, events);
+    private static double eventIntervalMillis(int events, long millis) {
+        return (double) millis / Math.max(MIN_INTERVAL_EVENTS, events);
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/StreamForecast.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/StreamForecast.java
@@ -18,53 +18,54 @@
 import org.quilldyke.routing.SuccessorChoice;
 
 /**
- * How long a stream under way lasts at most, and whether it has to go on elsewhere to end in time.
+ * How long a started stream may last, and whether it has to move to another target to end in time.
  *
- * <p>Most streams end long before they might: one that may be late stays as long as a quicker
- * target could still finish it later.
+ * <p>Most streams end long before their maximum. So a stream that may be late stays as long as a
+ * faster target could still complete it if it was moved later.
  *
- * @param eventsLeft how many events follow at most
- * @param paceMillis how long an event takes where the stream is
+ * @param eventsLeft the maximum number of remaining events
+ * @param eventIntervalMillis the event interval at the current target
  */
-public record StreamForecast(int eventsLeft, double paceMillis) {
+public record StreamForecast(int eventsLeft, double eventIntervalMillis) {
     /**
-     * Where nobody is sure to end in time, whoever lasts this much longer is left: paces of engines
-     * that are equally busy differ by less.
+     * If no target is certain to complete the stream in time, it moves only if this much is gained:
+     * event intervals of equally loaded engines differ by less.
      */
     static final double MIN_SPEEDUP = 1.5;
 
-    /** A quicker target may become this much slower and still end in time. */
+    /** A faster target may become slower by this fraction and still complete the stream in time. */
     static final double SLOWDOWN_MARGIN_FRACTION = 0.25;
 
-    /** Enough to be refused by one target, to ask another one, and to look at it too late. */
+    /** Time to be refused by one target, to ask another one, and to check too late. */
     static final long HANDOVER_MARGIN_MILLIS = 400;
 
-    private static final double MIN_PACE_MILLIS = 0.1;
+    private static final double MIN_EVENT_INTERVAL_MILLIS = 0.1;
 
-    /** Returns the forecast of a stream of which it is known how many events follow at most. */
-    public static StreamForecast of(int maxEventsLeft, double paceMillis) {
+    /** Returns the forecast of a stream with a known maximum of remaining events. */
+    public static StreamForecast of(int maxEventsLeft, double eventIntervalMillis) {
         return new StreamForecast(
-                Math.max(0, maxEventsLeft), Math.max(MIN_PACE_MILLIS, paceMillis));
+                Math.max(0, maxEventsLeft),
+                Math.max(MIN_EVENT_INTERVAL_MILLIS, eventIntervalMillis));
     }
 
-    /** Returns the forecast of a stream that may go on until its own time is over. */
-    public static StreamForecast untilDeadline(long millisLeft, double paceMillis) {
-        double pace = Math.max(MIN_PACE_MILLIS, paceMillis);
-        return of((int) Math.ceil(Math.max(0, millisLeft) / pace), pace);
+    /** Returns the forecast of a stream that may last until its own deadline. */
+    public static StreamForecast untilDeadline(long millisLeft, double eventIntervalMillis) {
+        double interval = Math.max(MIN_EVENT_INTERVAL_MILLIS, eventIntervalMillis);
+        return of((int) Math.ceil(Math.max(0, millisLeft) / interval), interval);
     }
 
-    /** Returns how long the rest lasts at most where the stream is. */
+    /** Returns how long the stream may still last at its current target. */
     public double maxRemainingMillis() {
-        return eventsLeft * paceMillis;
+        return eventsLeft * eventIntervalMillis;
     }
 
     /**
-     * Returns whether the stream has to go on elsewhere now: it won't end in time where it is, and
-     * later the other target wouldn't end it in time either; or if that is so by now, the other one
-     * is clearly quicker.
+     * Returns whether the stream has to move now. That is so if it may not end in time where it is
+     * and the other target could not complete it in time if it was moved later; or, if that target
+     * cannot complete it in time now either, if the target is clearly faster.
      *
-     * @param other the quickest other target
-     * @param deadline when the stream has to be over
+     * @param other the fastest other target
+     * @param deadline when the stream has to end
      */
     public boolean mustMove(SuccessorChoice other, long deadline, long now) {
         long millisLeft = deadline - now;
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/Suspect.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/Suspect.java
@@ -18,13 +18,13 @@
 import java.util.Set;
 
 /**
- * A request that targets worked on as they crashed.
+ * A request that targets were running when they crashed.
  *
- * @param request which
- * @param standing what follows from it
- * @param targets those that it may have crashed
- * @param refusedUntil the end of the time for which it is refused, in milliseconds of this
- *     process's clock; from then on one crash is enough to refuse it again
+ * @param request its fingerprint
+ * @param standing the consequence
+ * @param targets the targets that it may have crashed
+ * @param refusedUntil when the refusal expires, in milliseconds of this process's clock; from then
+ *     on one crash is sufficient to refuse the request again
  * @param refusals how often it was found to crash targets, 0 if it is only watched
  */
 public record Suspect(
@@ -33,17 +33,17 @@
         Set<String> targets,
         long refusedUntil,
         int refusals) {
-    /** What follows from a suspicion. */
+    /** The consequence of a suspicion. */
     public enum Standing {
-        /** It is sent on; whoever sees that it runs to its end says so. */
+        /** It is forwarded; an entry where it completes reports that. */
         WATCHED,
-        /** It isn't sent on for a while. */
+        /** It is not forwarded for a limited time. */
         REFUSED,
-        /** It has run to its end, or another request explains the crashes. */
+        /** It has completed, or another request explains the crashes. */
         CLEARED
     }
 
-    /** Returns the request as no suspect any more. */
+    /** Returns the request as cleared of the suspicion. */
     Suspect cleared() {
         return new Suspect(request, Standing.CLEARED, targets, 0, refusals);
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/SuspectRequests.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/SuspectRequests.java
@@ -22,8 +22,8 @@
 import org.quilldyke.ResultCode;
 
 /**
- * What an entry does with requests that are suspected to crash targets, and what it knows in their
- * favour. Used by one thread.
+ * The requests that an entry treats as suspected of crashing targets, and the recent completions
+ * that clear requests. Not thread-safe.
  */
 public final class SuspectRequests {
     static final int MAX_SUSPECTS = 4096;
@@ -34,15 +34,16 @@
 
     private SuspectRequests() {}
 
-    /** Returns an object that knows of no suspect. */
+    /** Returns an object without suspects. */
     public static SuspectRequests create() {
         return new SuspectRequests();
     }
 
     /**
-     * Takes what is concluded of a request.
+     * Applies the state of a suspect.
      *
-     * @return when it ran to its end here, if that may speak for it
+     * @return when the request completed here, which may clear it; empty if it has not, or if it is
+     *     no longer a suspect
      */
     public OptionalLong onSuspect(Suspect suspect) {
         if (suspect.standing() == Suspect.Standing.CLEARED) {
@@ -55,16 +56,16 @@
         return completedAt == null ? OptionalLong.empty() : OptionalLong.of(completedAt);
     }
 
-    /** Returns what is known of suspects. */
+    /** Returns the known suspects. */
     public List<Suspect> suspects() {
         return List.copyOf(mSuspects.values());
     }
 
     /**
-     * Returns whether a request may be sent to one more target. One that was refused before is
-     * tried by one alone.
+     * Returns whether a request may be sent to one more target. After a refusal has expired, the
+     * request is tried on one target only.
      *
-     * @param runCount how many may have run it for this attempt of its caller
+     * @param runCount the number of targets that may have run it for this attempt of its caller
      */
     public boolean maySend(RequestFingerprint request, int runCount, long now) {
         Suspect suspect = mSuspects.get(request);
@@ -73,7 +74,7 @@
                 || now >= suspect.refusedUntil() && runCount == 0;
     }
 
-    /** Returns the refusal of a request that isn't sent on. */
+    /** Returns the refusal of a request that is not forwarded. */
     public Step.Refuse refusal(RequestFingerprint request, long now) {
         Suspect suspect = mSuspects.get(request);
         return new Step.Refuse(
@@ -83,9 +84,9 @@
     }
 
     /**
-     * Notes that a request ran to its end.
+     * Records that a request completed.
      *
-     * @return whether others have to know
+     * @return whether it is a suspect, so that its completion has to be reported
      */
     public boolean onCompleted(RequestFingerprint request, long now) {
         mCompletedAt.remove(request);
@@ -94,7 +95,9 @@
         return mSuspects.containsKey(request);
     }
 
-    /** Returns whether a request ran to its end here so lately that it crashes no target. */
+    /**
+     * Returns whether a request completed here so recently that it cannot be the cause of a crash.
+     */
     public boolean hasCompletedRecently(RequestFingerprint request, long now) {
         Long completedAt = mCompletedAt.get(request);
         return completedAt != null
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/TargetCrash.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/TargetCrash.java
@@ -18,10 +18,10 @@
 import java.util.Set;
 
 /**
- * The end of a target that was at work on requests: one of them may have caused it.
+ * The crash of a target that was working on requests, one of which may have caused it.
  *
  * @param target the incarnation that ended
- * @param requests what it worked on, or had in its queue, as far as it is known
+ * @param requests the requests that it was running or had queued, as far as known
  * @param crashedAt when it ended, in milliseconds of this process's clock
  */
 public record TargetCrash(String target, Set<RequestFingerprint> requests, long crashedAt) {}
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/TargetRun.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/TargetRun.java
@@ -18,13 +18,13 @@
 import org.quilldyke.routing.Choice;
 import org.quilldyke.routing.TargetSelector;
 
-/** One sending of a request to a target, and what the target's load counts of it. */
+/** One attempt of a request at a target, and its contribution to the load of the target. */
 final class TargetRun {
     private final TargetSelector mTargets;
     private final Choice mChoice;
     private boolean mSent;
     private boolean mFirstOnTarget;
-    private boolean mPromptRead;
+    private boolean mPrefillEnded;
     private boolean mFinished;
 
     private TargetRun(TargetSelector targets, Choice choice) {
@@ -32,7 +32,7 @@
         mChoice = choice;
     }
 
-    /** Returns a run that is about to be sent, and counts for its target's load. */
+    /** Returns a run that is about to be sent, and adds it to the load of its target. */
     static TargetRun open(TargetSelector targets, Choice choice, ForwardRequest request, long now) {
         targets.onDispatch(choice, request, now);
         return new TargetRun(targets, choice);
@@ -43,16 +43,19 @@
     }
 
     /**
-     * Notes that the first byte leaves: from now on it may run.
+     * Records that the first byte is sent: from now on the request may run.
      *
-     * @param firstOnTarget whether its target has not run the request before, as far as is known
+     * @param firstOnTarget whether the target has not run the request before, as far as known
      */
     void onSending(boolean firstOnTarget) {
         mSent = true;
         mFirstOnTarget = firstOnTarget;
     }
 
-    /** Returns whether its target has not run the request if it doesn't run it now. */
+    /**
+     * Returns whether this is the first run of the request on its target, so that a refusal shows
+     * that the target has never run it.
+     */
     boolean isFirstOnTarget() {
         return mFirstOnTarget;
     }
@@ -62,19 +65,19 @@
         return mSent;
     }
 
-    /** Notes that the prompt is read, or never will be. */
-    void onPromptRead() {
-        if (!mPromptRead) {
-            mPromptRead = true;
+    /** Records that the prompt has been processed, or never will be. */
+    void onPrefillEnd() {
+        if (!mPrefillEnded) {
+            mPrefillEnded = true;
             mTargets.onPrefillEnd(mChoice);
         }
     }
 
-    /** Notes that it is over, whatever became of it. */
+    /** Records that the run has ended, with whatever outcome. */
     void finish() {
         if (!mFinished) {
             mFinished = true;
-            onPromptRead();
+            onPrefillEnd();
             mTargets.onFinished(mChoice);
         }
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/package-info.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/package-info.java
@@ -1,2 +1,4 @@
-/** The peer that sends requests: what is promised for each, and the state of its attempts. */
+/**
+ * Forwarding of callers' requests: admission, attempts, retries and the guarantees given for them.
+ */
 package org.quilldyke.caller;
