--- a/quilldyke-core/src/test/java/org/quilldyke/caller/AdmissionTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/AdmissionTest.java
@@ -25,7 +25,10 @@
 import org.quilldyke.manifest.RequestKind;
 import org.quilldyke.manifest.Route;
 
-/** Under load urgent prompts waited behind others, and runs stood still while these were read. */
+/**
+ * Under load, urgent prompts waited behind less urgent ones, and running requests were delayed by
+ * prefill.
+ */
 final class AdmissionTest {
     private static final long TIMEOUT_MILLIS = 4000;
     private static final long OBJECTIVE_MILLIS = 600;
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/DisconnectedRunsTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/DisconnectedRunsTest.java
@@ -19,7 +19,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What is a crash, as against a connection that was closed. */
+/** Distinguishes a crash of a target from a closed connection. */
 class DisconnectedRunsTest {
     private static final RequestFingerprint ONE = new RequestFingerprint(1, 1);
     private static final RequestFingerprint TWO = new RequestFingerprint(2, 2);
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/EventCountBoundTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/EventCountBoundTest.java
@@ -60,7 +60,9 @@
         assertThat(mBound.maxEvents(MAX_TOKENS)).isAtLeast(211);
     }
 
-    /** The last event of a small answer bears what is left: no other one bears so little. */
+    /**
+     * The last event of a small answer has only the remaining tokens; no other event has that few.
+     */
     @Test
     void smallAnswersDontReduceTokensPerEvent() {
         addAnswers(10, MAX_TOKENS, 211);
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/EventCountEstimatorTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/EventCountEstimatorTest.java
@@ -20,7 +20,6 @@
 import java.util.OptionalInt;
 import org.junit.jupiter.api.Test;
 
-/** How long a stream is likely to go on, given how long it has. */
 class EventCountEstimatorTest {
     private static final int MAX_TOKENS = 844;
 
@@ -33,7 +32,10 @@
         assertThat(mEstimator.likelyEvents(MAX_TOKENS, 10)).isEqualTo(OptionalInt.empty());
     }
 
-    /** What has just begun is most likely short; what has lasted belongs to the long ones. */
+    /**
+     * A stream that has just started is most likely short; one that has lasted is one of the long
+     * ones.
+     */
     @Test
     void estimateGrowsWithEventsReceived() {
         addAnswers(30, 50);
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/ForwardingSimulation.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/ForwardingSimulation.java
@@ -34,8 +34,8 @@
 import org.quilldyke.routing.TargetState;
 
 /**
- * One request that is driven by chance, as an entry drives it, among targets that come and go; what
- * the targets would have seen is counted here, and held against what was promised.
+ * Drives the forwarding of one request with random events, as an entry does, while targets join and
+ * leave. Counts what the targets would receive and checks the guarantees against it.
  */
 final class ForwardingSimulation {
     private static final AnswerHead OK = new AnswerHead(200, false, false, true, false);
@@ -53,7 +53,7 @@
 
     private final StringBuilder mTrace = new StringBuilder();
     private final SplittableRandom mRandom;
-    private final TargetSelector mTargetTable;
+    private final TargetSelector mTargets;
     private final ServiceRetryBudget mRetryBudget;
     private final ShutdownAdmission mShutdown = ShutdownAdmission.create();
     private final RequestKind mKind;
@@ -82,7 +82,7 @@
 
     ForwardingSimulation(long seed) {
         mRandom = new SplittableRandom(seed);
-        mTargetTable = TargetSelector.create("z", 7500, new SplittableRandom(seed));
+        mTargets = TargetSelector.create("z", 7500, new SplittableRandom(seed));
         mRetryBudget =
                 ServiceRetryBudget.create(
                         0, mRandom.nextBoolean() ? 6 : 2 * UNLIMITED_RETRIES, 1_000_000, 1);
@@ -115,11 +115,10 @@
                         new RequestFingerprint(1, 1),
                         -1);
         mForwarding =
-                Forwarding.of(
-                        request, mTargetTable, mRetryBudget, mShutdown, SuspectRequests.create());
+                Forwarding.of(request, mTargets, mRetryBudget, mShutdown, SuspectRequests.create());
     }
 
-    /** Plays to the end, and returns what it was. */
+    /** Runs the simulation and returns the outcome of the request. */
     String run() {
         log("kind " + mKind + " attempts " + mRoute.maxAttempts());
         perform(mForwarding.start(mNow));
@@ -127,7 +126,7 @@
             mNow += mRandom.nextInt(5) == 0 ? mRandom.nextInt(900) : mRandom.nextInt(30);
             if (mNow >= mRoute.timeoutMillis()) {
                 mNow = mRoute.timeoutMillis();
-                log("time over");
+                log("deadline");
                 endWith(mForwarding.onDeadline(mNow), CutCause.TIME);
             } else if (mRandom.nextInt(12) == 0) {
                 applyExternalEvent();
@@ -137,47 +136,46 @@
             checkInvariants();
         }
         if (mOutcome.isEmpty()) {
-            log("caller gone");
+            log("caller disconnected");
             mForwarding.onCallerDisconnected();
-            close("caller gone");
+            close("caller disconnected");
             checkInvariants();
         }
         return mOutcome;
     }
 
-    /** Returns whether another target was asked since the instance is ending. */
+    /** Returns whether a successor was asked because of the shutdown. */
     boolean wasShutdownSuccessorAsked() {
         return mShutdownSuccessorAsked;
     }
 
-    /** Returns what has happened, one event a line. */
+    /** Returns the events so far, one per line. */
     String trace() {
         return mTrace.toString();
     }
 
-    /** Something that isn't of the request itself. */
+    /** Applies an event from outside of the request. */
     private void applyExternalEvent() {
         int kind = mRandom.nextInt(8);
         if (kind == 0) {
             addTarget();
         } else if (kind == 1) {
             int index = mRandom.nextInt(mTargetCount);
-            log("gone t" + index);
-            mTargetTable.onRemoved("t" + index);
+            log("removed t" + index);
+            mTargets.onRemoved("t" + index);
         } else if (kind == 2) {
-            mTargetTable.onLoading(
-                    "t" + mRandom.nextInt(mTargetCount), mRandom.nextBoolean(), mNow);
+            mTargets.onLoading("t" + mRandom.nextInt(mTargetCount), mRandom.nextBoolean(), mNow);
         } else if (kind == 3) {
-            mTargetTable.onDataReceived("t" + mRandom.nextInt(mTargetCount), mNow);
+            mTargets.onDataReceived("t" + mRandom.nextInt(mTargetCount), mNow);
         } else if (kind == 4) {
             mRetriesOfOthers += mRetryBudget.tryAcquire("s", mNow) ? 1 : 0;
         } else if (kind == 5 && mRandom.nextInt(6) == 0) {
-            log("instance ends");
+            log("shutdown deadline");
             endWith(mForwarding.onShutdownDeadline(), CutCause.SHUTDOWN);
         } else if (kind == 6 && mRandom.nextInt(6) == 0) {
-            log("caller gone");
+            log("caller disconnected");
             mForwarding.onCallerDisconnected();
-            close("caller gone");
+            close("caller disconnected");
         } else if (kind == 7 && mRandom.nextInt(6) == 0) {
             mShutdown.onShutdown(mNow + 3000);
         }
@@ -198,19 +196,19 @@
     private void stepRun() {
         int kind = mRandom.nextInt(8);
         if (mRandom.nextInt(8) == 0) {
-            mTargetTable.onEvent(mRun.mTarget, 1 + mRandom.nextInt(100), mNow);
-            log("instance is ending");
+            mTargets.onEvent(mRun.mTarget, 1 + mRandom.nextInt(100), mNow);
+            log("shutdown check");
             Optional<Step.Send> send = mForwarding.onShutdownCheck(mNow);
             mShutdownSuccessorAsked |= send.isPresent();
             askSuccessor(send);
         } else if (kind == 0) {
-            log("silent");
+            log("unresponsive");
             askSuccessor(mForwarding.onTargetUnresponsive(mNow));
         } else if (kind == 1) {
             log("waits to load");
             askSuccessor(mForwarding.onLoadPending(mNow));
         } else if (kind == 2 && mRandom.nextInt(3) == 0) {
-            log("given up by control");
+            log("lost by control");
             if (mRun.mSent) {
                 mLeftRunning.remove(mRun.mTarget);
             }
@@ -218,7 +216,7 @@
             perform(mForwarding.onTargetLost(CutCause.CONTROL, mNow));
         } else if (!mRun.mSent) {
             if (mRandom.nextInt(3) == 0) {
-                log("unsent");
+                log("unreachable");
                 mRun = null;
                 perform(mForwarding.onUnreachable(mNow));
             } else {
@@ -258,7 +256,7 @@
             mRun.mStreaming = true;
             discardSuccessor();
         } else {
-            assertWithMessage("a plain answer in a stream").that(mAnswerStarted).isFalse();
+            assertWithMessage("a plain answer within a stream").that(mAnswerStarted).isFalse();
             mForwarding.onComplete();
             close("whole");
         }
@@ -282,7 +280,7 @@
     }
 
     private void onAnswerFailed() {
-        log("breaks off");
+        log("answer fails");
         mLeftRunning.remove(mRun.mTarget);
         mRun = null;
         perform(mForwarding.onAnswerFailed(ResultCode.TARGET_LOST, mNow));
@@ -291,12 +289,12 @@
     private void stepSuccessor() {
         int kind = mRandom.nextInt(6);
         if (kind == 0) {
-            log("successor isn't wanted");
+            log("successor discarded");
             discardSuccessor();
             relayHeldEvents();
         } else if (!mSuccessor.mSent) {
             if (kind == 1) {
-                log("successor unsent");
+                log("successor unreachable");
                 mForwarding.onSuccessorUnreachable(mNow);
                 keepRun();
             } else {
@@ -316,7 +314,7 @@
             mForwarding.onSuccessorRefused(head, mNow);
             keepRun();
         } else if (mRandom.nextInt(5) == 0 || !mForwarding.maySuccessorTakeOver(head)) {
-            log("it can't follow");
+            log("successor failed");
             mLeftRunning.remove(mSuccessor.mTarget);
             mForwarding.onSuccessorFailed(mNow);
             keepRun();
@@ -330,7 +328,9 @@
 
     private void onHeadAfterTakeover(AnswerHead head) {
         Step step = mForwarding.onAnswerHead(head, mNow);
-        assertWithMessage("what took over is passed on").that(step).isEqualTo(new Step.Relay());
+        assertWithMessage("the answer that takes over is relayed")
+                .that(step)
+                .isEqualTo(new Step.Relay());
         if (head.stream()) {
             mRun.mStreaming = true;
         } else {
@@ -364,19 +364,22 @@
             assertThat(send.resumeAfterEvent()).isEqualTo(mLastRelayedEvent);
         } else if (step instanceof Step.Wait wait) {
             assertThat(wait.until()).isGreaterThan(mNow);
-            assertWithMessage("waits with a successor at work").that(mSuccessor).isNull();
+            assertWithMessage("waits while a successor is pending").that(mSuccessor).isNull();
             mWaiting = true;
             mWaitUntil = wait.until();
         } else if (step instanceof Step.AwaitSuccessor) {
             switchToSuccessor();
         } else {
-            assertWithMessage("ends with a run at work").that(mRun).isNull();
-            assertWithMessage("ends with a successor at work").that(mSuccessor).isNull();
+            assertWithMessage("ends while a run is open").that(mRun).isNull();
+            assertWithMessage("ends while a successor is pending").that(mSuccessor).isNull();
             endWith(step, null);
         }
     }
 
-    /** Ends by a step; {@code due} is why it is cut, null if it must be its last target's doing. */
+    /**
+     * Ends with a step; {@code expectedCause} is the cause of an abort, null if it must be the last
+     * target.
+     */
     private void endWith(Step step, CutCause expectedCause) {
         log("=> " + step);
         if (step instanceof Step.Abort abort) {
@@ -386,7 +389,7 @@
                             ? Set.of(CutCause.TARGET, CutCause.CONTROL)
                             : Set.of(expectedCause);
             assertThat(abort.cause()).isIn(causes);
-            assertWithMessage("cut though it may go on")
+            assertWithMessage("aborted although it may resume")
                     .that(expectedCause == null && mayResume())
                     .isFalse();
             close("cut");
@@ -397,12 +400,14 @@
         } else {
             assertThat(step).isInstanceOf(Step.Refuse.class);
             assertThat(mAnswerStarted).isFalse();
-            assertWithMessage("refused though it may have run").that(mRuns).isEqualTo(0);
+            assertWithMessage("refused although it may have run").that(mRuns).isEqualTo(0);
             close("refused");
         }
     }
 
-    /** Returns whether any target may run it on, and its caller still waits for events. */
+    /**
+     * Returns whether some target may continue the request and its caller still waits for events.
+     */
     private boolean mayResume() {
         return mRoute.mayRunAgain()
                 && mRoute.resumable()
@@ -477,15 +482,17 @@
     }
 
     private void checkInvariants() {
-        assertWithMessage("targets that run it")
+        assertWithMessage("targets that run the request")
                 .that(mMayHaveRun.size())
                 .isAtMost(mRoute.maxAttempts());
         if (!mRoute.mayRunAgain()) {
             assertWithMessage("runs").that(mRuns).isAtMost(1);
         }
         double usedRetries = mInitialRetries - mRetryBudget.available("s", mNow) - mRetriesOfOthers;
-        assertWithMessage("second arrivals").that(mArrivals - 1.0).isAtMost(usedRetries + 0.001);
-        for (TargetState state : mTargetTable.targets()) {
+        assertWithMessage("retries received by targets")
+                .that(mArrivals - 1.0)
+                .isAtMost(usedRetries + 0.001);
+        for (TargetState state : mTargets.targets()) {
             Predicate<Run> isThere = run -> run != null && run.mTarget.equals(state.id());
             int open = (isThere.test(mRun) ? 1 : 0) + (isThere.test(mSuccessor) ? 1 : 0);
             assertWithMessage("open at " + state.id()).that(state.ownRequests()).isEqualTo(open);
@@ -497,7 +504,7 @@
 
     private void addTarget() {
         String id = "t" + mTargetCount++;
-        mTargetTable.onReport(
+        mTargets.onReport(
                 new TargetReport(id, "s", id + ":1", "z", "v1", 4, false, 0, Map.of("m", 1L), 1));
     }
 
@@ -505,7 +512,7 @@
         mTrace.append(mNow).append(' ').append(event).append('\n');
     }
 
-    /** One sending, as its target sees it. */
+    /** One attempt, as its target sees it. */
     private static final class Run {
         final String mTarget;
         long mLastEvent;
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/ForwardingSimulationTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/ForwardingSimulationTest.java
@@ -21,9 +21,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/**
- * Requests whose targets do all that targets do, in any order: whatever comes, the promises hold.
- */
+/** The guarantees hold for any order of events at the targets. */
 class ForwardingSimulationTest {
     private static final int SIMULATIONS = 20_000;
 
@@ -35,16 +33,23 @@
             try {
                 outcomes.merge(simulation.run(), 1, Integer::sum);
                 if (simulation.wasShutdownSuccessorAsked()) {
-                    outcomes.merge("hurried", 1, Integer::sum);
+                    outcomes.merge("shutdown successor", 1, Integer::sum);
                 }
             } catch (RuntimeException | AssertionError e) {
                 throw new AssertionError("seed " + seed + "\n" + simulation.trace(), e);
             }
         }
 
-        // Each way to end was walked, or the walks show less than they seem to.
+        // Checks that the simulations cover each outcome; otherwise they prove less than they seem
+        // to.
         assertWithMessage("%s", outcomes)
                 .that(outcomes.keySet())
-                .containsAtLeast("whole", "cut", "failed", "refused", "caller gone", "hurried");
+                .containsAtLeast(
+                        "whole",
+                        "cut",
+                        "failed",
+                        "refused",
+                        "caller disconnected",
+                        "shutdown successor");
     }
 }
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/ForwardingTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/ForwardingTest.java
@@ -30,7 +30,7 @@
 import org.quilldyke.manifest.Route;
 import org.quilldyke.routing.TargetSelector;
 
-/** Whether the caller is told the truth, and nothing runs more often than it may. */
+/** The caller gets the actual outcome, and a request runs no more often than allowed. */
 class ForwardingTest {
     private static final AnswerHead OK = new AnswerHead(200, false, false, true, false);
     private static final AnswerHead STREAM = new AnswerHead(200, false, false, true, true);
@@ -219,7 +219,7 @@
         }
     }
 
-    /** Its caller was to be told by a whole answer, for which an open stream has no place. */
+    /** The failure was to be reported by a plain answer, which cannot follow an open stream. */
     @Test
     void resumedStreamIsAbortedIfTheNewAnswerIsUnsigned() {
         Forwarding forwarding = forwarding(RequestKind.STREAMING, 2);
@@ -267,7 +267,9 @@
         assertThat(forwarding.onWaitElapsed(95)).isInstanceOf(Step.Refuse.class);
     }
 
-    /** Giving a busy engine up once made it read the same prompts again elsewhere, without end. */
+    /**
+     * When busy engines were given up, other engines processed the same prompts again, endlessly.
+     */
     @Test
     void busyTargetIsNotTreatedAsUnresponsive() {
         Forwarding forwarding = forwarding(RequestKind.IDEMPOTENT, 2);
@@ -279,7 +281,7 @@
         assertThat(forwarding.mayReplaceTarget(900)).isFalse();
     }
 
-    /** An engine waited for its longest stream for 3 to 5 s before it loaded for 0.8 s. */
+    /** An engine waited 3 to 5 s for its longest stream before it loaded weights for 0.8 s. */
     @Test
     void resumableStreamMovesWhenItsTargetWaitsToLoad() {
         Forwarding forwarding = forwarding(RequestKind.STREAMING, 2);
@@ -330,7 +332,7 @@
         assertThat(singleTarget.onLoadPending(20)).isEqualTo(Optional.empty());
     }
 
-    /** A stream that was moved with the last second attempt was cut if its new target shed it. */
+    /** A stream that was moved with the last retry was aborted if its new target refused it. */
     @Test
     void streamStaysIfItsSuccessorRefuses() {
         mRetryBudget = ServiceRetryBudget.create(0, 3.75, 10_000, 1);
@@ -346,7 +348,7 @@
         assertThat(moved.lastRelayedEvent()).isEqualTo(5);
     }
 
-    /** Its events would wait longer than they may, and the prompt would be read for nothing. */
+    /** Events would be held back for too long, and the prompt would be processed in vain. */
     @Test
     void streamStaysIfAllOthersWouldStartTooLate() {
         Forwarding stays = startedStream();
@@ -356,7 +358,7 @@
         assertThat(stays.onTargetUnresponsive(900)).isNotEqualTo(Optional.empty());
     }
 
-    /** Two second attempts stay for answers whose target fails. */
+    /** Two retries remain for answers whose target fails. */
     @Test
     void streamIsMovedOnlyIfRetriesAreLeftForFailures() {
         mRetryBudget = ServiceRetryBudget.create(0, 3.75, 10_000, 1);
@@ -365,7 +367,7 @@
         assertThat(startedStream().onLoadPending(60)).isEqualTo(Optional.empty());
     }
 
-    /** What only was a wish once used up what protects against a failure. */
+    /** A move by choice once used up the attempt that protects against a failure. */
     @Test
     void movedStreamReturnsToItsOldTargetIfTheNewOneFails() {
         Forwarding moved = forwarding(RequestKind.STREAMING, 2);
@@ -382,7 +384,7 @@
         assertThat(((Step.Send) next).resumeAfterEvent()).isEqualTo(5);
     }
 
-    /** The successor was asked for the events after the last one passed: it is the run now. */
+    /** The successor was asked for the events after the last relayed one, so it becomes the run. */
     @Test
     void successorTakesOverIfTheRunFails() {
         Forwarding moved = startedStream();
@@ -394,7 +396,7 @@
         assertThat(moved.onAnswerHead(STREAM, 40)).isEqualTo(new Step.Relay());
     }
 
-    /** A stream was cut at once for want of a second attempt that was there half a second later. */
+    /** A stream was aborted for lack of a retry that was available half a second later. */
     @Test
     void brokenStreamWaitsForRetryBudget() {
         mRetryBudget = ServiceRetryBudget.create(0, 1.25, 200, 1);
@@ -411,7 +413,7 @@
         send(step, waiting);
     }
 
-    /** Nobody is there, and the caller leaves: then it is cut, by the target's failure. */
+    /** No target is available until the caller gives up; the cause is the failure of the target. */
     @Test
     void brokenStreamIsAbortedIfNoTargetIsFoundInTime() {
         Forwarding stream = startedStream();
@@ -425,7 +427,7 @@
         assertThat(step).isEqualTo(new Step.Abort(ResultCode.TARGET_LOST, CutCause.TARGET));
     }
 
-    /** A silent run is kept as well: it may speak again, and nobody else need take it. */
+    /** An unresponsive run is kept as well: it may resume, and there may be no other target. */
     @Test
     void unresponsiveRunIsKeptUntilItsSuccessorStarts() {
         Forwarding forwarding = forwarding(RequestKind.IDEMPOTENT, 2);
@@ -437,7 +439,7 @@
         assertThat(forwarding.onAnswerHead(OK, 920)).isEqualTo(new Step.Relay());
     }
 
-    /** A stream was cut on its second target after a second of silence, with nowhere left to go. */
+    /** A stream on its second target was aborted after 1 s of silence, with no target left. */
     @Test
     void targetIsNotReplacedWhenNoOtherCouldAnswer() {
         Forwarding lastAttempt = forwarding(RequestKind.STREAMING, 2);
@@ -470,7 +472,7 @@
         assertThat(late.mayReplaceTarget(980)).isFalse();
     }
 
-    /** What may not go on elsewhere was given up for its target's silence all the same. */
+    /** Such an answer was abandoned because its target was unresponsive. */
     @Test
     void targetIsNotReplacedIfTheRequestMayNotRunElsewhere() {
         Forwarding nonIdempotent = forwarding(RequestKind.NON_IDEMPOTENT, 2);
@@ -484,7 +486,7 @@
         assertThat(started.mayReplaceTarget(900)).isFalse();
     }
 
-    /** The target that failed was counted as one that might do better, and its answer was lost. */
+    /** The failed target counted as one that might still answer, and its answer was discarded. */
     @Test
     void errorOfTheOnlyTargetIsRelayed() {
         List.of("b", "c").forEach(mTargets::onRemoved);
@@ -494,7 +496,7 @@
         assertThat(forwarding.onAnswerHead(FAILED, 10)).isEqualTo(new Step.Relay());
     }
 
-    /** Nothing says that a second run of such a request makes the same events. */
+    /** A second run of such a request need not produce the same events. */
     @Test
     void startedAnswerIsNotContinuedUnlessResumable() {
         Forwarding forwarding = forwarding(RequestKind.IDEMPOTENT, 3);
@@ -507,7 +509,7 @@
                 .isEqualTo(new Step.Abort(ResultCode.TARGET_LOST, CutCause.TARGET));
     }
 
-    /** Before the repair an instance ended without a word to whom it hadn't answered yet. */
+    /** An instance used to end without a response to requests that it had not answered yet. */
     @Test
     void shutdownDeadlineReportsWhetherTheRequestMayHaveRun() {
         Forwarding unsent = forwarding(RequestKind.NON_IDEMPOTENT, 1);
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/LeaseClockTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/LeaseClockTest.java
@@ -19,7 +19,6 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What counts as time that has passed. */
 class LeaseClockTest {
     private static final long WALL_CLOCK_START = 1_780_000_000_000L;
 
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/PoisonRequestDetectorTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/PoisonRequestDetectorTest.java
@@ -28,7 +28,7 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** Who is found to crash targets, and who isn't. */
+/** Which requests are refused for crashing targets, and which are not. */
 class PoisonRequestDetectorTest {
     private static final RequestFingerprint POISON = new RequestFingerprint(1, 1);
     private static final RequestFingerprint HARMLESS = new RequestFingerprint(2, 2);
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/RequestFingerprintTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/RequestFingerprintTest.java
@@ -22,7 +22,6 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What makes two requests the same. */
 class RequestFingerprintTest {
     @Test
     void sameCallerPathAndBodyGiveTheSameFingerprint() {
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/ServiceRetryBudgetTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/ServiceRetryBudgetTest.java
@@ -55,7 +55,7 @@
         assertThat(budget.tryAcquire("s", 12_000)).isTrue();
     }
 
-    /** In no window, however it lies, is more taken than the rule allows. */
+    /** Checks windows at any offset, not only those aligned with the buckets. */
     @Test
     void noSlidingWindowExceedsTheBudget() {
         Random random = new Random(7);
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/ShutdownAdmissionTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/ShutdownAdmissionTest.java
@@ -25,8 +25,8 @@
 import org.quilldyke.manifest.Route;
 
 /**
- * What an instance that shuts down still takes. Streams here may have 955 or 205 tokens, five an
- * event, an event lasts 37 to 70 ms, and the shutdown 7.8 s.
+ * Streams here may have 955 or 205 tokens at five per event, an event takes 37 to 70 ms, and the
+ * shutdown takes 7.8 s.
  */
 class ShutdownAdmissionTest {
     private static final long DEADLINE = 7800;
@@ -66,7 +66,7 @@
         assertThat(mAdmission.admits(stream(SHORT_STREAM_TOKENS, 12_600), 250, 4000)).isFalse();
     }
 
-    /** Short runs say what a stream of the same size lasts, and nothing of larger ones. */
+    /** Short runs show how long a stream of the same size lasts, and nothing about larger ones. */
     @Test
     void shortRunsDontAdmitLongStreams() {
         completeStreams(ENOUGH_RUNS, SHORT_STREAM_TOKENS, 1600);
@@ -77,14 +77,13 @@
     }
 
     /**
-     * Answers that use a tenth of what they may say nothing of one that uses it all.
+     * Answers that use a tenth of their token limit give no information about one that uses all of
+     * it.
      *
-     * <p>What callers would see: an entry that is told to end takes a stream and cuts it seconds
-     * later, its engine at work. The order of events: some forty short answers end, the signal
-     * comes, a stream with the same allowance is taken and uses all of it. The cause: how long a
-     * stream may last was learnt by the tokens that others might have had, of which most use a
-     * tenth. The evidence: streams of 844 tokens taken up to 1.2 s after the signal by such a
-     * forecast; whole ones lasted up to 10.1 s.
+     * <p>When the duration of streams was estimated per token of their limit, an instance admitted
+     * a stream during its shutdown and aborted it seconds later: some 40 short answers had
+     * completed before, and the stream used its whole limit. Streams of 844 tokens were admitted up
+     * to 1.2 s after the signal, while complete ones lasted up to 10.1 s.
      */
     @Test
     void shortAnswersDontAdmitStreamThatMayUseAllItsTokens() {
@@ -94,7 +93,7 @@
         assertThat(mAdmission.admits(stream(LONG_STREAM_TOKENS, 15_000), 20, 1200)).isFalse();
     }
 
-    /** Nor do some that use half of it tell how many events the whole of it makes. */
+    /** Nor do answers that use half of their limit show how many events the whole limit makes. */
     @Test
     void answersOfHalfTheLimitDontRevealTokensPerEvent() {
         completeShorterStreams(ENOUGH_RUNS, LONG_STREAM_TOKENS, 95, 1000);
@@ -116,7 +115,7 @@
                 .isEqualTo(191);
     }
 
-    /** Most of what is asked for during a shutdown is short: it is still served. */
+    /** Most requests that arrive during a shutdown are short and are still served. */
     @Test
     void shortStreamsAreAdmittedWhileLongOnesAreRefused() {
         completeShorterStreams(ENOUGH_RUNS, LONG_STREAM_TOKENS, LONG_STREAM_TOKENS / 50, 700);
@@ -127,7 +126,7 @@
         assertThat(mAdmission.admits(stream(LONG_STREAM_TOKENS, 15_000), 250, 0)).isFalse();
     }
 
-    /** A stream of two events with a pause between them said that all streams are as slow. */
+    /** A stream of two events with a pause between them made all streams look that slow. */
     @Test
     void pauseInShortAnswerDoesNotSetThePaceOfLongOnes() {
         completeStreams(ENOUGH_RUNS, SHORT_STREAM_TOKENS, 900);
@@ -137,7 +136,9 @@
         assertThat(mAdmission.admits(stream(SHORT_STREAM_TOKENS, 15_000), 20, 2000)).isTrue();
     }
 
-    /** A whole answer on a route of streams was over at once, and so were forty streams. */
+    /**
+     * Plain answers on a streaming route were complete immediately and counted as 40 short streams.
+     */
     @Test
     void answersWithoutEventsAreIgnored() {
         completeShorterStreams(ENOUGH_RUNS, SHORT_STREAM_TOKENS, 0, 10);
@@ -165,7 +166,7 @@
         assertThat(mAdmission.admits(stream(SHORT_STREAM_TOKENS, 15_000), 20, 0)).isTrue();
     }
 
-    /** Each was taken for a whole one, and taught that whole ones are short. */
+    /** Each counted as a complete stream and made complete ones look short. */
     @Test
     void resumedStreamsDontShortenTheBound() {
         for (int i = 0; i < ENOUGH_RUNS; i++) {
@@ -207,7 +208,7 @@
         assertThat(mAdmission.admits(plain(17_600), 5, DEADLINE - 30)).isFalse();
     }
 
-    /** Has streams end that used all that they might. */
+    /** Completes streams that use their whole token limit. */
     private void completeStreams(int runs, int maxTokens, long millis) {
         completeShorterStreams(runs, maxTokens, maxTokens / TOKENS_PER_EVENT, millis);
     }
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/ShutdownMigrationTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/ShutdownMigrationTest.java
@@ -30,8 +30,8 @@
 import org.quilldyke.routing.TargetSelector;
 
 /**
- * Where streams go on that would outlast their instance: it is told to end at 0 and ends at 7.8 s,
- * a stream of 211 events began just before.
+ * Streams that would outlast their instance: its shutdown starts at 0 and ends at 7.8 s, and a
+ * stream of 211 events has started just before.
  */
 class ShutdownMigrationTest {
     private static final long SHUTDOWN_DEADLINE = 7800;
@@ -80,8 +80,8 @@
     }
 
     /**
-     * Two quick targets were full for a moment as a stream had to go on there: nobody was asked
-     * again, and the stream was cut at the instance's limit, seconds later.
+     * Two fast targets were full for a moment when a stream had to move there. They were not asked
+     * again, and the stream was aborted seconds later at the shutdown deadline.
      */
     @Test
     void targetThatRefusedIsAskedAgainWithExponentialBackoff() {
@@ -101,7 +101,7 @@
         assertThat(asked).containsExactly(4000L, 4200L, 4600L, 5400L, 7000L).inOrder();
     }
 
-    /** It held the events up once, and would do it again at each look. */
+    /** It has delayed the events once and would do so again at each check. */
     @Test
     void targetThatDidNotStartInTimeIsNotAskedAgain() {
         Forwarding forwarding = startSlowStream();
@@ -123,7 +123,7 @@
         mShutdown.onShutdown(SHUTDOWN_DEADLINE);
 
         for (long now = 0; now < SHUTDOWN_DEADLINE; now += 100) {
-            recordPace("quick", 10, now);
+            recordEvents("quick", 10, now);
             assertThat(askedSuccessor(forwarding, now)).isEqualTo("");
         }
     }
@@ -156,7 +156,10 @@
         assertThat(askedSuccessor(forwarding, 4000)).isEqualTo("");
     }
 
-    /** It ends before the instance does, whole or not, and not by the instance. */
+    /**
+     * The stream ends before the instance does, complete or not, so the shutdown does not affect
+     * it.
+     */
     @Test
     void streamWithEarlierDeadlineStays() {
         Forwarding forwarding = startSlowStream();
@@ -167,7 +170,7 @@
     }
 
     @Test
-    void streamStaysAsLongAsItsPaceIsUnknown() {
+    void streamStaysAsLongAsItsEventIntervalIsUnknown() {
         addTarget("slow", 60);
         Forwarding forwarding = startStream();
         mTargets.onRemoved("slow");
@@ -177,7 +180,7 @@
         assertThat(forwarding.onShutdownCheck(4000).isPresent()).isFalse();
     }
 
-    /** Returns a stream that has begun at a slow target, the only one. */
+    /** Starts a stream at a slow target, the only one. */
     private Forwarding startSlowStream() {
         addTarget("slow", 60);
         return startStream();
@@ -194,21 +197,21 @@
         return forwarding;
     }
 
-    /** Returns who is asked to go on at a time, empty for nobody. */
+    /** Returns the target that is asked to take over at the given time, empty for none. */
     private String askedSuccessor(Forwarding forwarding, long now) {
-        recordPace("slow", 60, now);
+        recordEvents("slow", 60, now);
         return forwarding.onShutdownCheck(now).map(send -> send.choice().target()).orElse("");
     }
 
-    private void addTarget(String id, long paceMillis) {
+    private void addTarget(String id, long intervalMillis) {
         mTargets.onReport(
                 new TargetReport(id, "s", id + ":1", "z", "v1", 4, false, 0, Map.of("m", 1L), 1));
-        recordPace(id, paceMillis, 0);
+        recordEvents(id, intervalMillis, 0);
     }
 
-    private void recordPace(String id, long paceMillis, long now) {
+    private void recordEvents(String id, long intervalMillis, long now) {
         for (int i = 0; i < 20; i++) {
-            mTargets.onEvent(id, paceMillis, now);
+            mTargets.onEvent(id, intervalMillis, now);
         }
     }
 
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/StartUpWaitTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/StartUpWaitTest.java
@@ -19,7 +19,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** After all processes were killed, a window of two seconds held refusals only. */
+/** After all processes had been killed, there were only refusals for two seconds. */
 final class StartUpWaitTest {
     @Test
     void waitsForAQuarterOfItsRemainingTime() {
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/StreamForecastTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/StreamForecastTest.java
@@ -21,7 +21,9 @@
 import org.quilldyke.routing.Choice;
 import org.quilldyke.routing.SuccessorChoice;
 
-/** When a stream with up to 211 events leaves an engine, by an instance that ends at 7.8 s. */
+/**
+ * When a stream of up to 211 events moves to another engine before a shutdown deadline at 7.8 s.
+ */
 class StreamForecastTest {
     private static final long DEADLINE = 7800;
     private static final int FIRST_EVENT_MILLIS = 200;
@@ -34,7 +36,10 @@
         assertThat(forecast.mustMove(other(10), DEADLINE, 1800)).isFalse();
     }
 
-    /** Most end long before they might: to move each at once would read many prompts twice. */
+    /**
+     * Most streams end before their maximum; moving each immediately would process many prompts
+     * twice.
+     */
     @Test
     void streamStaysAsLongAsItMayBeMovedLater() {
         StreamForecast initial = StreamForecast.of(184, 58);
@@ -44,42 +49,45 @@
         assertThat(later.mustMove(other(25), DEADLINE, 3000)).isTrue();
     }
 
-    /** Whatever the pace there, a check every 100 ms finds a moment with time to spare. */
+    /** For any event interval of the other target, a check every 100 ms leaves enough time. */
     @Test
     void streamIsMovedWhileTheOtherTargetCanCompleteItInTime() {
-        for (int otherPace = 10; otherPace <= 30; otherPace++) {
+        for (int otherInterval = 10; otherInterval <= 30; otherInterval++) {
             long now = 0;
-            while (!forecastAt(now).mustMove(other(otherPace), DEADLINE, now)) {
+            while (!forecastAt(now).mustMove(other(otherInterval), DEADLINE, now)) {
                 now += 100;
             }
-            double end = now + other(otherPace).remainingMillis(forecastAt(now).eventsLeft());
+            double end = now + other(otherInterval).remainingMillis(forecastAt(now).eventsLeft());
             assertThat(end).isAtMost(DEADLINE - StreamForecast.HANDOVER_MARGIN_MILLIS + 100.0);
         }
     }
 
     /**
-     * Paces and ages of streams that were cut at the limit, each taken to use all it may: also such
-     * that their own time would end before all that, which it doesn't at the quick engine.
+     * Event intervals and ages of streams that were aborted at the shutdown deadline, assumed to
+     * use their whole token limit. Some of them would reach their own deadline before, but not at
+     * the faster engine.
      */
     @Test
     void slowStreamsEndInTimeGivenAFastEngine() {
-        int[][] paceAndAge = {{41, 181}, {50, 163}, {58, 1569}, {67, 156}, {95, 1845}, {104, 320}};
-        for (int[] stream : paceAndAge) {
-            for (int otherPace = 20; otherPace <= 32; otherPace++) {
-                assertThat(endOf(stream[0], stream[1], otherPace)).isAtMost((double) DEADLINE);
+        int[][] intervalAndAge = {
+            {41, 181}, {50, 163}, {58, 1569}, {67, 156}, {95, 1845}, {104, 320}
+        };
+        for (int[] stream : intervalAndAge) {
+            for (int otherInterval = 20; otherInterval <= 32; otherInterval++) {
+                assertThat(endOf(stream[0], stream[1], otherInterval)).isAtMost((double) DEADLINE);
             }
         }
     }
 
-    /** Returns when a stream of 211 events ends that is looked at each 100 ms from the signal. */
-    private static double endOf(int pace, int age, int otherPace) {
+    /** Returns when a stream of 211 events ends that is checked every 100 ms from the signal. */
+    private static double endOf(int interval, int age, int otherInterval) {
         for (long now = 0; now < DEADLINE; now += 100) {
-            int left = (int) (211 - (now + age) / pace);
-            if (StreamForecast.of(left, pace).mustMove(other(otherPace), DEADLINE, now)) {
-                return now + other(otherPace).remainingMillis(left);
+            int left = (int) (211 - (now + age) / interval);
+            if (StreamForecast.of(left, interval).mustMove(other(otherInterval), DEADLINE, now)) {
+                return now + other(otherInterval).remainingMillis(left);
             }
         }
-        return 211.0 * pace - age;
+        return 211.0 * interval - age;
     }
 
     @Test
@@ -90,7 +98,7 @@
         assertThat(forecast.mustMove(other(80), DEADLINE, 0)).isFalse();
     }
 
-    /** The prompt is read again there: that takes longer than the last events here. */
+    /** Processing the prompt again takes longer than the last events at the current target. */
     @Test
     void streamStaysForItsLastEvents() {
         StreamForecast forecast = StreamForecast.of(2, 100);
@@ -111,9 +119,9 @@
         return StreamForecast.of((int) (190 - now / 70), 70);
     }
 
-    private static SuccessorChoice other(double paceMillis) {
+    private static SuccessorChoice other(double eventIntervalMillis) {
         return new SuccessorChoice(
                 new Choice("b", "b:1", 1, "", 0, 0, 0, "", "", 0, FIRST_EVENT_MILLIS, "", 0),
-                paceMillis);
+                eventIntervalMillis);
     }
 }
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/SuccessorTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/SuccessorTest.java
@@ -30,7 +30,7 @@
 import org.quilldyke.manifest.Route;
 import org.quilldyke.routing.TargetSelector;
 
-/** What may be asked beside a run, and what becomes of both. */
+/** Successors: when one may be asked while a run is kept, and the outcome of both. */
 class SuccessorTest {
     private static final AnswerHead STREAM = new AnswerHead(200, false, false, true, true);
     private static final AnswerHead REFUSED = new AnswerHead(503, true, false, false, false);
@@ -46,8 +46,8 @@
     }
 
     /**
-     * A target that goes dark is told silent while connections to it are still tried: the
-     * connection failed, and the request with it, though its successor was at work.
+     * A target is reported unresponsive while a connection to it is still being established. When
+     * that failed, the request failed too, although its successor was working on it.
      */
     @Test
     void failedConnectionDoesNotFailRequestWithPendingSuccessor() {
@@ -59,7 +59,9 @@
         assertThat(forwarding.onUnreachable(300)).isInstanceOf(Step.Send.class);
     }
 
-    /** A stream that goes on at its second target, which hasn't begun, was sent to a third. */
+    /**
+     * A stream that was to resume at its second target, which had not started, was sent to a third.
+     */
     @Test
     void runThatHasNotStartedCountsWhenItsTargetWaitsToLoad() {
         add("c");
@@ -70,7 +72,7 @@
         assertThat(forwarding.onLoadPending(60)).isEqualTo(Optional.empty());
     }
 
-    /** The control group's word came while the connection was tried: nothing had run. */
+    /** Control reported the loss while the connection was being established: nothing had run. */
     @Test
     void unsentRequestGoesToAnotherTargetWhenControlReportsTheLoss() {
         Forwarding forwarding = forwarding(RequestKind.NON_IDEMPOTENT, 1);
@@ -81,7 +83,10 @@
         assertThat(send(next, forwarding)).isNotEqualTo(first);
     }
 
-    /** A target spoke once more before it fell silent for good: nobody else was asked again. */
+    /**
+     * A target sent data once more and then became unresponsive permanently; no other was asked
+     * again.
+     */
     @Test
     void discardedSuccessorMayBeAskedAgain() {
         Forwarding forwarding = forwarding(RequestKind.STREAMING, 2);
@@ -96,7 +101,7 @@
         assertThat(again.map(send -> send.choice().target())).isEqualTo(Optional.of(second));
     }
 
-    /** Where a stream may go back to was out of the question for good once it was full. */
+    /** The target to which a stream may return was excluded permanently once it had been full. */
     @Test
     void streamWaitsForItsOldTargetIfThatRefusesOnce() {
         Forwarding forwarding = forwarding(RequestKind.STREAMING, 2);
@@ -117,7 +122,7 @@
         assertThat(send(step, forwarding)).isEqualTo(first);
     }
 
-    /** It was sent, but is known not to have run. */
+    /** The request was sent, but is known not to have run. */
     @Test
     void refusalByRunAndSuccessorIsARefusal() {
         Forwarding forwarding = forwarding(RequestKind.IDEMPOTENT, 2);
@@ -129,7 +134,7 @@
         assertThat(forwarding.onAnswerHead(REFUSED, 920)).isInstanceOf(Step.Refuse.class);
     }
 
-    /** Each refusal was followed by the next second attempt 20 ms later. */
+    /** Each refusal was followed by the next retry 20 ms later. */
     @Test
     void refusedBrokenStreamDoesNotExhaustTheRetryBudget() {
         Forwarding forwarding = forwarding(RequestKind.STREAMING, 2);
