--- a/quilldyke-core/src/main/java/org/quilldyke/caller/PoisonRequestDetector.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/PoisonRequestDetector.java
@@ -38,7 +38,7 @@
  * it is received. The evidence is bounded: the oldest is dropped first.
  */
 public final class PoisonRequestDetector {
-    /** Number of crashes attributed to a request from which on it is refused. */
+    /** A request to which this number of crashes is attributed is refused. */
     static final int MIN_CRASHES_TO_REFUSE = 3;
 
     /** A request that completed at most this long before a crash did not cause it. */
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/StreamForecast.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/StreamForecast.java
@@ -36,7 +36,7 @@
     /** A faster target may become slower by this fraction and still complete the stream in time. */
     static final double SLOWDOWN_MARGIN_FRACTION = 0.25;
 
-    /** Time to be refused by one target, to ask another one, and to check too late. */
+    /** Covers a refusal by one target, the request to another one, and a late check. */
     static final long HANDOVER_MARGIN_MILLIS = 400;
 
     private static final double MIN_EVENT_INTERVAL_MILLIS = 0.1;
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/ForwardingSimulation.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/ForwardingSimulation.java
@@ -208,7 +208,7 @@
             log("waits to load");
             askSuccessor(mForwarding.onLoadPending(mNow));
         } else if (kind == 2 && mRandom.nextInt(3) == 0) {
-            log("lost by control");
+            log("loss reported by control");
             if (mRun.mSent) {
                 mLeftRunning.remove(mRun.mTarget);
             }
