--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/EntrySubscriber.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/EntrySubscriber.java
@@ -90,7 +90,7 @@
                 .schedule(
                         this::noteLoads, LOADS_MILLIS, java.util.concurrent.TimeUnit.MILLISECONDS);
         List<TargetLoad> loads = new ArrayList<>();
-        for (TargetState target : mEntry.targetStates().targets()) {
+        for (TargetState target : mEntry.targetSelector().targets()) {
             if (target.ownRequests() > 0) {
                 loads.add(
                         TargetLoad.newBuilder()
@@ -136,7 +136,7 @@
                             boolean before = mEntry.isConfigurationConfirmed();
                             mEntry.onConfigurationConfirmed(askedAt, control);
                             mEntry.retryBudget().onInstanceCount(answer.getEntries());
-                            mEntry.targetStates().onInstanceRank(rank(answer), mEntry.now());
+                            mEntry.targetSelector().onInstanceRank(rank(answer), mEntry.now());
                             if (!before && mEntry.isConfigurationConfirmed()) {
                                 mLog.write(
                                         Event.CONFIRMED,
@@ -174,11 +174,11 @@
     }
 
     private void takeLoads(List<TargetLoad> loads) {
-        for (TargetState target : mEntry.targetStates().targets()) {
-            mEntry.targetStates().onOtherInstancesLoad(target.id(), 0, 0);
+        for (TargetState target : mEntry.targetSelector().targets()) {
+            mEntry.targetSelector().onOtherInstancesLoad(target.id(), 0, 0);
         }
         for (TargetLoad load : loads) {
-            mEntry.targetStates()
+            mEntry.targetSelector()
                     .onOtherInstancesLoad(load.getTarget(), load.getRequests(), load.getTokens());
         }
     }
@@ -190,7 +190,7 @@
             mEntry.loop()
                     .execute(
                             () ->
-                                    mEntry.targetStates()
+                                    mEntry.targetSelector()
                                             .onNamedWeights(
                                                     named.getModel(), named.getVersion(), namedAt));
         }
@@ -310,7 +310,7 @@
             mEntry.loop()
                     .execute(
                             () ->
-                                    mEntry.targetStates()
+                                    mEntry.targetSelector()
                                             .onReportOrigin(report.id(), control, lastHeardAt));
         }
         // What was open at an earlier incarnation may go on at the one that has just reported.
@@ -333,7 +333,7 @@
     private void onCaches(Caches caches) {
         List<CacheUpdate> decoded =
                 caches.getCachesList().stream().map(EntrySubscriber::decode).toList();
-        mEntry.loop().execute(() -> decoded.forEach(mEntry.targetStates()::onCacheUpdate));
+        mEntry.loop().execute(() -> decoded.forEach(mEntry.targetSelector()::onCacheUpdate));
     }
 
     private static CacheUpdate decode(org.quilldyke.gateway.instance.proto.CacheNews news) {
@@ -350,7 +350,7 @@
                 .execute(
                         () -> {
                             if (loading.hasWeights()) {
-                                mEntry.targetStates()
+                                mEntry.targetSelector()
                                         .onWeightsReported(
                                                 loading.getTarget(),
                                                 loading.getWeights().getModel(),
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/GatewayProcess.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/GatewayProcess.java
@@ -348,7 +348,7 @@
     private void registerGauges() {
         MetricRegistry registry = mMetrics.registry();
         registry.register(
-                "targets.known", (Gauge<Integer>) () -> mEntry.targetStates().targets().size());
+                "targets.known", (Gauge<Integer>) () -> mEntry.targetSelector().targets().size());
         registry.register("targets.connections", (Gauge<Integer>) mEntry.pool()::connections);
         registry.register("keys.lease-age.ms", (Gauge<Long>) () -> mEntry.confirmationAgeMillis());
     }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CrashDetector.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CrashDetector.java
@@ -60,7 +60,7 @@
         long now = mEntry.now();
         mLostRuns
                 .onTargetEnded(target, now)
-                .filter(crash -> !mEntry.targetStates().isLeaving(target))
+                .filter(crash -> !mEntry.targetSelector().isLeaving(target))
                 .ifPresent(crash -> reportCrash(crash, now));
     }
 
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/EntryContext.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/EntryContext.java
@@ -65,7 +65,7 @@
     private final LongSupplier mClock;
     private final LongSupplier mLeaseClock;
     private final Dialect mDialect;
-    private final TargetSelector mTargetStates;
+    private final TargetSelector mTargetSelector;
     private final TargetConnectionPool mPool;
     private final ServiceRetryBudget mRetryBudget;
     private final ShutdownAdmission mShutdownAdmission = ShutdownAdmission.create();
@@ -90,7 +90,7 @@
         mClock = dependencies.clock();
         mLeaseClock = dependencies.leaseClock();
         mDialect = dependencies.dialect();
-        mTargetStates = dependencies.targetStates();
+        mTargetSelector = dependencies.targetSelector();
         mRetryBudget = dependencies.retryBudget();
         mKeyLease = dependencies.keyLease();
         mMaxApplyMillis = dependencies.maxApplyMillis();
@@ -108,7 +108,7 @@
 
                             @Override
                             public void onFreeConnections(String target, int free) {
-                                mTargetStates.onFreeConnections(target, free);
+                                mTargetSelector.onFreeConnections(target, free);
                             }
 
                             @Override
@@ -133,7 +133,7 @@
     public void onRoutes(RouteTable routes, long logIndex) {
         mRoutes = routes;
         mLogIndex = logIndex;
-        mTargetStates.onServices(routes.manifest().services());
+        mTargetSelector.onServices(routes.manifest().services());
     }
 
     /**
@@ -144,7 +144,7 @@
      *     sent to successors
      */
     public void onTargetRemoved(String target, boolean unannounced) {
-        if (unannounced && mTargetStates.isResponding(target, now())) {
+        if (unannounced && mTargetSelector.isResponding(target, now())) {
             // Its reports don't arrive, but its answers do.
             mUnreported.add(target);
             mLoop.schedule(
@@ -177,7 +177,7 @@
 
     private void removeTarget(String target) {
         mUnreported.remove(target);
-        mTargetStates.onRemoved(target);
+        mTargetSelector.onRemoved(target);
         mPool.removeTarget(target);
     }
 
@@ -188,7 +188,7 @@
     /** Applies a report on a target. */
     public void onReport(TargetReport report) {
         mUnreported.remove(report.id());
-        mTargetStates.onReport(report);
+        mTargetSelector.onReport(report);
     }
 
     /** Applies a limit from a target's answer, and publishes it if it has changed. */
@@ -204,7 +204,7 @@
     }
 
     private boolean applyLimit(AdvertisedLimit limit, String source) {
-        boolean changed = mTargetStates.onLimit(limit, now());
+        boolean changed = mTargetSelector.onLimit(limit, now());
         if (changed) {
             mLog.write(
                     Event.TARGET_LIMITED,
@@ -225,7 +225,7 @@
 
     /** Notes that a target is about to load weights, or has finished doing so. */
     public void onLoading(String target, boolean loading) {
-        mTargetStates.onLoading(target, loading, now());
+        mTargetSelector.onLoading(target, loading, now());
         if (loading) {
             checkLoadingDelay(target);
         }
@@ -237,10 +237,10 @@
      */
     private void checkLoadingDelay(String target) {
         boolean nothingOpen = !mExchangesByTarget.containsKey(target);
-        if (nothingOpen || isDraining() || !mTargetStates.isLoading(target, now())) {
+        if (nothingOpen || isDraining() || !mTargetSelector.isLoading(target, now())) {
             return;
         }
-        if (mTargetStates.shouldMoveStreams(target, now())) {
+        if (mTargetSelector.shouldMoveStreams(target, now())) {
             openExchanges(target).forEach(exchange -> exchange.onTargetWaitsToLoad(target));
         }
         mLoop.schedule(
@@ -346,8 +346,8 @@
     }
 
     /** Returns the targets' states and the selection among them. */
-    public TargetSelector targetStates() {
-        return mTargetStates;
+    public TargetSelector targetSelector() {
+        return mTargetSelector;
     }
 
     /** Returns the pool of connections to targets. */
@@ -362,7 +362,8 @@
 
     /** Returns the forwarding decisions for a request. */
     Forwarding forwarding(ForwardRequest request) {
-        return Forwarding.of(request, mTargetStates, mRetryBudget, mShutdownAdmission, suspects());
+        return Forwarding.of(
+                request, mTargetSelector, mRetryBudget, mShutdownAdmission, suspects());
     }
 
     /** Returns which requests may crash targets. */
@@ -427,7 +428,7 @@
      * @param clock monotonic milliseconds
      * @param leaseClock the clock of leases, in milliseconds
      * @param dialect the wire formats of callers and targets
-     * @param targetStates the targets' states and the selection among them
+     * @param targetSelector the targets' states and the selection among them
      * @param retryBudget bounds the retries
      * @param keyLease the lease within which keys may be accepted
      * @param maxApplyMillis the time within which an accepted configuration must be in force
@@ -439,7 +440,7 @@
             LongSupplier clock,
             LongSupplier leaseClock,
             Dialect dialect,
-            TargetSelector targetStates,
+            TargetSelector targetSelector,
             ServiceRetryBudget retryBudget,
             KeyLease keyLease,
             long maxApplyMillis,
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/Exchange.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/Exchange.java
@@ -354,7 +354,7 @@
     private TargetAnswer startAttempt(Step.Send send) {
         TargetAnswer answer =
                 new TargetAnswer(this, mEntry, mRequest, send.choice(), mBody.alloc());
-        mLog.routed(mRequest, send, mEntry.targetStates(), mEntry.configurationStatus(), now());
+        mLog.routed(mRequest, send, mEntry.targetSelector(), mEntry.configurationStatus(), now());
         mEntry.metrics().onAttempt();
         // Assigned before the start, which may call back at once.
         if (mAnswer == null) {
@@ -473,7 +473,7 @@
         }
         mStream.begin(mAnswer, now());
         long millis = mStream.firstEventMillis();
-        mEntry.targetStates().onFirstEvent(mChoice, millis, now());
+        mEntry.targetSelector().onFirstEvent(mChoice, millis, now());
         mEntry.metrics().onFirstEvent(millis, mChoice.expectedMillis());
     }
 
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/ExchangeLog.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/ExchangeLog.java
@@ -39,11 +39,11 @@
     void routed(
             ForwardRequest request,
             Step.Send send,
-            TargetSelector targetStates,
+            TargetSelector targetSelector,
             ConfigurationStatus configuration,
             long now) {
         Choice choice = send.choice();
-        ReportOrigin told = targetStates.reportOrigin(choice.target());
+        ReportOrigin told = targetSelector.reportOrigin(choice.target());
         mLog.write(
                 Event.ROUTED,
                 "request",
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/TargetAnswer.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/TargetAnswer.java
@@ -248,7 +248,7 @@
 
     private void recordEventInterval() {
         if (mLastEventAt != NO_EVENT) {
-            mEntry.targetStates()
+            mEntry.targetSelector()
                     .onEvent(mChoice.target(), mLastHeardAt - mLastEventAt, mLastHeardAt);
         }
         mLastEventAt = mLastHeardAt;
@@ -256,14 +256,14 @@
 
     private void recordLiveness() {
         mLastHeardAt = mEntry.now();
-        mEntry.targetStates().onDataReceived(mChoice.target(), mLastHeardAt);
+        mEntry.targetSelector().onDataReceived(mChoice.target(), mLastHeardAt);
     }
 
     private void recordWeights() {
         if (mFacts.weights().isPresent() && mRequest.prompt().isPresent()) {
             String model = mRequest.prompt().get().model();
             long weights = mFacts.weights().getAsLong();
-            mEntry.targetStates().onWeightsReported(mChoice.target(), model, weights);
+            mEntry.targetSelector().onWeightsReported(mChoice.target(), model, weights);
         }
     }
 
