--- a/quilldyke-core/src/main/java/org/quilldyke/caller/Admission.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/Admission.java
@@ -54,7 +54,7 @@
      * Returns whether a request is admitted.
      *
      * @param admissionMillis the expected time to the first event, less the exempt part of the
-     *     prefill, see {@link #exemptPrefillMillis}
+     *     prefill, see {@link #discountedPrefillMillis}
      */
     public static boolean admits(ForwardRequest request, long admissionMillis) {
         if (request.prompt().isEmpty()) {
