--- a/quilldyke-core/src/main/java/org/quilldyke/routing/AdvertisedLimit.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/AdvertisedLimit.java
@@ -20,22 +20,26 @@
  *
  * @param target the target's id
  * @param perSecond requests per second, {@link #NONE} if it advertises no limit
- * @param receivedAt when it was received, in milliseconds of this process's clock
+ * @param receivedAt when an instance received it from the target, in milliseconds of this process's
+ *     clock
  */
 public record AdvertisedLimit(String target, double perSecond, long receivedAt) {
-    /** No limit. */
+    /** The rate of a target that advertises no limit. */
     public static final double NONE = Double.POSITIVE_INFINITY;
 
     /** A limit is in force for this long after any instance last received it. */
     static final long VALID_MILLIS = 60_000;
 
-    /** An unchanged limit that is received again is published at this interval. */
+    /** An unchanged limit that is received again is published at most once in this interval. */
     static final long REPUBLISH_INTERVAL_MILLIS = 20_000;
 
-    /** Limits that differ by no more than this share of the published one count as unchanged. */
-    private static final double SIGNIFICANT_CHANGE = 0.2;
+    /** Limits that differ by no more than this fraction of the published one count as unchanged. */
+    private static final double SIGNIFICANT_CHANGE_FRACTION = 0.2;
 
-    /** Returns the state of a target that hasn't advertised anything yet. */
+    /**
+     * Returns the state of a target that hasn't advertised anything yet. Its time is early enough
+     * to be replaced by any other, and late enough for its age not to overflow.
+     */
     static AdvertisedLimit unknown(String target) {
         return new AdvertisedLimit(target, NONE, Long.MIN_VALUE / 2);
     }
@@ -50,11 +54,15 @@
         return isSet() && now - receivedAt < VALID_MILLIS;
     }
 
-    /** Returns whether it should be sent to others that know an earlier limit of the target. */
+    /**
+     * Returns whether other instances should receive this limit.
+     *
+     * @param published the limit of the target that was published last
+     */
     public boolean shouldPublishAfter(AdvertisedLimit published) {
         double difference = Math.abs(perSecond - published.perSecond);
         return isSet() != published.isSet()
-                || difference > SIGNIFICANT_CHANGE * published.perSecond
+                || difference > SIGNIFICANT_CHANGE_FRACTION * published.perSecond
                 || isSet() && receivedAt - published.receivedAt >= REPUBLISH_INTERVAL_MILLIS;
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/CacheKeys.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/CacheKeys.java
@@ -19,13 +19,17 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 import org.quilldyke.caller.Prompt;
 
-/** Hash keys of cached prompt parts, and of the prefixes by which requests are routed. */
+/**
+ * Hash keys of cached prompt parts, and of the prefixes by which requests are routed.
+ *
+ * <p>A salt keeps apart what must not be shared: {@code PromptCacheLocations#salt}.
+ */
 public final class CacheKeys {
     private CacheKeys() {}
 
     /** Returns the key of a prompt part that is cached under a salt. */
-    public static long of(String salt, long part) {
-        return Hashing.wyhashFinal4().hashStream().putString(salt).putLong(part).getAsLong();
+    public static long of(String salt, long partId) {
+        return Hashing.wyhashFinal4().hashStream().putString(salt).putLong(partId).getAsLong();
     }
 
     /** Returns the keys of a prompt's parts under a salt, in order. */
@@ -42,20 +46,21 @@
 
     /**
      * Returns the key that selects the preferred target of prompts that lack the same part: it
-     * covers the shared parts up to and including the first one that isn't held. The version of the
-     * weights is not included, so that the preferred target of a prefix stays the same when weights
-     * change.
+     * covers the shared parts up to and including the first one that isn't present. The version of
+     * the weights is not included, so that the preferred target of a prefix stays the same when
+     * weights change.
      *
      * @param cacheScope the scope in which cached prompts are shared
-     * @param heldTokens how many leading tokens of the prompt are held
+     * @param presentTokens how many leading tokens of the prompt are present at the target, with or
+     *     without what it can fetch
      */
-    static long affinityKey(String cacheScope, Prompt prompt, int heldTokens) {
+    static long affinityKey(String cacheScope, Prompt prompt, int presentTokens) {
         HashStream64 hash = Hashing.wyhashFinal4().hashStream().putString(cacheScope);
         int tokens = 0;
         for (Prompt.Part part : prompt.sharedParts()) {
             hash.putLong(part.id());
             tokens += part.tokens();
-            if (tokens > heldTokens) {
+            if (tokens > presentTokens) {
                 break;
             }
         }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/CacheUpdate.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/CacheUpdate.java
@@ -22,12 +22,17 @@
  *
  * @param holder the engine's id or the store's address
  * @param reachable whether the holder answers the control process that reads its cache events
- * @param restarted whether everything that was known of the cache before is void
+ * @param discardsPrevious whether parts that were reported before and aren't in {@code added} are
+ *     no longer cached, since the holder has restarted or the update lists all its parts
  * @param added keys of parts that are cached now
  * @param removed keys of parts that are no longer cached
  */
 public record CacheUpdate(
-        String holder, boolean reachable, boolean restarted, List<Long> added, List<Long> removed) {
+        String holder,
+        boolean reachable,
+        boolean discardsPrevious,
+        List<Long> added,
+        List<Long> removed) {
     /** Copies the lists. */
     public CacheUpdate {
         added = List.copyOf(added);
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/CacheView.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/CacheView.java
@@ -25,14 +25,16 @@
  */
 final class CacheView {
     /**
-     * More than engines of today's sites cache; beyond it the least recently used part is dropped.
+     * More parts than an engine caches at the present sites. Beyond this number, the least recently
+     * used part is removed.
      */
     private static final int MAX_PARTS = 8192;
 
     /** Within this time after it was sent, a prompt is prefilled or its target has refused it. */
     private static final long EXPECTATION_TIMEOUT_MILLIS = 3000;
 
-    private static final long CONFIRMED = Long.MAX_VALUE;
+    /** Parts that a cache event has confirmed don't expire. */
+    private static final long CONFIRMED_EXPIRY = Long.MAX_VALUE;
 
     /** Until when each part is assumed to be cached, by its key. */
     private final Map<Long, Long> mPartExpiry =
@@ -52,7 +54,7 @@
      * @param keys the keys of its parts, {@link CacheKeys#of(String, Prompt)}
      */
     int cachedTokens(long[] keys, Prompt prompt, long now) {
-        return prefixTokensAt(keys, prompt, now);
+        return leadingTokensCachedAt(keys, prompt, now);
     }
 
     /**
@@ -60,10 +62,11 @@
      * fetch them.
      */
     int fetchableTokens(long[] keys, Prompt prompt) {
-        return prefixTokensAt(keys, prompt, CONFIRMED - 1);
+        // Later than the expiry of every expected part.
+        return leadingTokensCachedAt(keys, prompt, CONFIRMED_EXPIRY - 1);
     }
 
-    private int prefixTokensAt(long[] keys, Prompt prompt, long time) {
+    private int leadingTokensCachedAt(long[] keys, Prompt prompt, long time) {
         int tokens = 0;
         for (int i = 0; i < keys.length; i++) {
             Long expiry = mPartExpiry.get(keys[i]);
@@ -77,7 +80,7 @@
 
     /** Adds a part that a cache event reports. */
     void addConfirmed(long key) {
-        mPartExpiry.put(key, CONFIRMED);
+        mPartExpiry.put(key, CONFIRMED_EXPIRY);
     }
 
     /** Adds the parts of a prompt that is being sent to the target. */
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/Choice.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/Choice.java
@@ -16,7 +16,7 @@
 package org.quilldyke.routing;
 
 /**
- * The target chosen for a request, with the predictions that led to the choice.
+ * The target that {@link TargetSelector} chose for a request, with the predictions that led to it.
  *
  * @param target the target's id
  * @param address where it accepts requests
@@ -30,10 +30,11 @@
  *     although nothing is expected to be missing, since the target may have evicted parts meanwhile
  * @param cacheTarget where it sends the parts that it has prefilled, empty for nowhere
  * @param admissionMillis the expected time to the first event, less what {@code Admission}
- *     discounts of the prefill of a large prompt's unshared part
- * @param expectedMillis the expected time to the first event
+ *     discounts of the prefill of a large prompt's unshared part; 0 for plain requests
+ * @param expectedMillis the expected time to the first event; for plain requests the cost of the
+ *     choice instead, in tenths of the load of a target with all slots in use
  * @param runnerUp the id of the next best target, empty if there was none
- * @param runnerUpMillis the expected time to the first event there
+ * @param runnerUpMillis what {@code expectedMillis} would be there, 0 if there was none
  */
 public record Choice(
         String target,
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/CostModel.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/CostModel.java
@@ -44,7 +44,7 @@
     private static final double DELAY_COST_TOKENS_PER_MILLI = 0.14;
 
     /**
-     * Interval of events of four tokens at an engine with one request: 20 to 25 ms at today's
+     * Interval of events of four tokens at an engine with one request: 20 to 25 ms at the present
      * sites.
      */
     private static final double IDLE_EVENT_INTERVAL_MILLIS = 25;
@@ -52,19 +52,25 @@
     private static final int TOKENS_PER_EVENT = 4;
 
     /**
-     * Margin for prompts that others will send to the engine during the stream, which isn't known
-     * yet.
+     * Margin for the prefill of prompts that will be sent to the engine during the stream and
+     * aren't known yet.
      */
-    private static final double UNKNOWN_PREFILL_FACTOR = 1.5;
+    private static final double FUTURE_PREFILL_FACTOR = 1.5;
 
     /**
-     * Returns the model for engines of today's sites; {@link DelayTracker} adds measured delays.
+     * Returns the model for the engines of the present sites; {@link DelayTracker} adds measured
+     * delays.
      */
     public static CostModel standard() {
         return new CostModel(50, 15, 3.5, 0.1);
     }
 
-    /** Returns the expected time to the first token of a prompt that doesn't queue. */
+    /**
+     * Returns the expected time to the first token of a prompt that doesn't queue.
+     *
+     * @param missingTokens how many of its tokens the engine must prefill
+     * @param running how many other requests run there
+     */
     public double firstTokenMillis(long missingTokens, int running) {
         return firstTokenOverheadMillis + stepMillis(running) + prefillMillis(missingTokens);
     }
@@ -74,7 +80,10 @@
         return tokens / prefillTokensPerMilli;
     }
 
-    /** Returns how long a prompt waits for the prefill of the backlog and for a slot. */
+    /**
+     * Returns how long a prompt waits for the prefill of the backlog and for a slot: ten steps for
+     * each request, itself included, that exceeds the slots.
+     */
     public double waitMillis(long backlogTokens, int running, int slots) {
         double slotWaitMillis = Math.max(0, running + 1 - slots) * stepMillis(running) * 10;
         return prefillMillis(backlogTokens) + slotWaitMillis;
@@ -82,7 +91,7 @@
 
     /** Returns the expected interval of events at an engine for which none was measured. */
     public double defaultEventIntervalMillis(int running) {
-        return UNKNOWN_PREFILL_FACTOR
+        return FUTURE_PREFILL_FACTOR
                 * (IDLE_EVENT_INTERVAL_MILLIS + TOKENS_PER_EVENT * stepMillisPerRequest * running);
     }
 
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/Decision.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/Decision.java
@@ -18,11 +18,11 @@
 import org.quilldyke.engine.TargetRecord;
 
 /**
- * The target chosen for a request, with the predictions that explain the choice.
+ * The target that {@link Router} chose for a request, with the predictions that explain the choice.
  *
  * @param target the chosen target
  * @param reason what decided the choice
- * @param units the prompt's length
+ * @param units the prompt's length, in the units of {@link org.quilldyke.engine.BlockChain}
  * @param cachedUnits units expected to be cached at the target
  * @param queueMillis predicted wait before the prefill
  * @param predictedMillis predicted time to first token
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/DelayTracker.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/DelayTracker.java
@@ -16,10 +16,11 @@
 package org.quilldyke.routing;
 
 /**
- * Decaying average of how much later than expected a target's first events arrive.
+ * Decaying average of how much later than expected first events arrive: those of one target, or
+ * those of answers whose prompts were partly fetched from the KV store.
  *
- * <p>The expectation is based on the requests that instances have sent. What it doesn't cover shows
- * here: a slow engine, a full batch, load reports that arrived late.
+ * <p>The expectation is based on the requests that instances have sent. The average accounts for
+ * what the expectation doesn't cover: a slow engine, a full batch, load reports that arrived late.
  */
 final class DelayTracker {
     private static final double NEW_SAMPLE_WEIGHT = 0.3;
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/EventIntervalTracker.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/EventIntervalTracker.java
@@ -25,7 +25,10 @@
     /** Prefill of long prompts slows a target's streams for one or two seconds. */
     private static final double HALF_LIFE_MILLIS = 1500;
 
-    /** After this time the result lies halfway between the measured and the expected interval. */
+    /**
+     * This long after the last event, the result lies halfway between the measured and the expected
+     * interval.
+     */
     private static final double BLEND_HALF_LIFE_MILLIS = 4000;
 
     private static final long EXPIRY_MILLIS = 10_000;
@@ -37,7 +40,7 @@
     private int mEventCount;
     private long mLastEventAt;
 
-    /** Adds an event that arrived so many milliseconds after the one before it in its stream. */
+    /** Adds an event that arrived {@code intervalMillis} after the previous one of its stream. */
     void onEvent(long intervalMillis, long now) {
         if (isExpired(now)) {
             mEventCount = 0;
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/InstanceRank.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/InstanceRank.java
@@ -16,7 +16,8 @@
 package org.quilldyke.routing;
 
 /**
- * The rank of this instance among all entry instances, as assigned by the control group.
+ * The rank of this instance among all entry instances, which are those that serve callers. The
+ * control group assigns it.
  *
  * @param rank from 0, negative if it isn't known
  * @param instances the number of entry instances
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/LoadShedding.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/LoadShedding.java
@@ -21,8 +21,8 @@
  * <p>A prompt that isn't cached costs an engine many times what a cached one does. Under overload,
  * queues full of uncached prompts evict cached blocks, which makes more prompts uncached, so that
  * the overload sustains itself. The permitted wait therefore grows with the cached share of a
- * request: uncached ones are refused first, and the queue stays short enough for cached ones to
- * gain from waiting.
+ * request: uncached ones are refused first, and the queue stays so short that it is worthwhile for
+ * cached ones to wait.
  */
 final class LoadShedding {
     private static final double MAX_UNCACHED_WAIT_MILLIS = 300;
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/LoadTable.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/LoadTable.java
@@ -139,13 +139,13 @@
             mUnreportedWaiting++;
         }
 
-        void applyReport(LoadReport report, long takenAt) {
+        void applyReport(LoadReport report, long madeAt) {
             mReportedUnits = report.queuedUnits();
             mReportedRequests = report.running() + report.waiting();
             mReportedWaiting = report.waiting();
             while (!mUnreported.isEmpty()
                     && (mUnreported.peekFirst().mIsExcluded
-                            || mUnreported.peekFirst().mSentAt < takenAt)) {
+                            || mUnreported.peekFirst().mSentAt < madeAt)) {
                 excludeFromSums(mUnreported.pollFirst());
             }
         }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/NamedWeights.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/NamedWeights.java
@@ -20,7 +20,7 @@
 import java.util.TreeMap;
 
 /**
- * The versions of each model's weights that operators have named for use, with their times.
+ * The versions of each model's weights that operators have named for use, and when.
  *
  * <p>A version is outdated from the time at which the first newer version was named, however many
  * have followed.
@@ -35,7 +35,11 @@
         return new NamedWeights();
     }
 
-    /** Adds a version that was named at the given time; a repetition changes nothing. */
+    /**
+     * Adds a version; a repetition changes nothing.
+     *
+     * @param namedAt when it was named, in milliseconds of this instance's clock
+     */
     public void onNamed(String model, long version, long namedAt) {
         mNamedAt.computeIfAbsent(model, name -> new TreeMap<>()).putIfAbsent(version, namedAt);
     }
@@ -46,7 +50,9 @@
         return versions == null ? 0 : versions.lastKey();
     }
 
-    /** Returns for how long a version has been outdated; 0 if it is the newest. */
+    /**
+     * Returns for how long a version has been outdated: at least 1 ms, or 0 if it is the newest.
+     */
     public long outdatedMillis(String model, long version, long now) {
         TreeMap<Long, Long> versions = mNamedAt.get(model);
         Map.Entry<Long, Long> next = versions == null ? null : versions.higherEntry(version);
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/PlacementCost.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/PlacementCost.java
@@ -19,10 +19,10 @@
  * The cost of sending a prompt to an engine, in recomputed shared tokens: the common unit for late
  * answers, redundant prefill and evicted cache.
  *
- * <p>Today's sites price a thousand recomputed shared tokens at 0.73 of the value of a plain
- * request; a late answer loses about 2 of the 2.9 that a long prompt is worth. So a late answer
- * costs as much as 2,700 tokens, and as long as answers are early, the target that prefills the
- * fewest tokens is best.
+ * <p>The present sites price a thousand recomputed shared tokens at 0.73 of the value of a plain
+ * request. A long prompt is worth 2.9 plain requests, of which a late answer loses about 2. So a
+ * late answer costs as much as 2,700 tokens, and as long as answers are early, the target that
+ * prefills the fewest tokens is best.
  */
 final class PlacementCost {
     /** Cost of an answer that is expected exactly at its objective; later ones cost more. */
@@ -41,18 +41,18 @@
     static final double COPY_COST_PER_TOKEN = 0.15;
 
     /**
-     * The same at the preferred target, to which all instances return a prefix: no further copies
-     * are made.
+     * The same at the preferred target: all instances send prompts with that prefix there, so no
+     * further copies are made.
      */
     static final double PREFERRED_TARGET_COPY_COST_PER_TOKEN = 0.05;
 
     /**
-     * Cost of a byte between failure domains. Three sites price it at 0.0024, 0.0028 and 0.0099
-     * recomputed shared tokens; a prompt of 18 KB costs 50 to 180 of them.
+     * Cost of a byte that crosses failure domains. Three sites price it at 0.0024, 0.0028 and
+     * 0.0099 recomputed shared tokens; a prompt of 18 KB costs 50 to 180 of them.
      */
     static final double CROSS_DOMAIN_COST_TOKENS_PER_BYTE = 0.007;
 
-    /** An answer as a stream of 10 to 70 events. */
+    /** Size of an answer that is a stream of 10 to 70 events. */
     static final int TYPICAL_RESPONSE_BYTES = 3000;
 
     /**
@@ -61,7 +61,7 @@
      */
     static final double NEW_CONNECTION_COST_TOKENS = 150;
 
-    /** Cost of an answer by replaced weights: a fifth of the answer's value. */
+    /** Cost of an answer by outdated weights: a fifth of the answer's value. */
     static final double OUTDATED_WEIGHTS_COST_TOKENS = 700;
 
     /** Cost of a refusal: the prompt's retry mostly comes too late for its objective. */
@@ -91,13 +91,14 @@
      *
      * @param sharedTokens how many tokens other prompts may share
      * @param cachedTokens how many of the prompt's tokens the engine has cached
-     * @param heldTokens how many it has once it has fetched what other holders have cached
+     * @param tokensAfterFetch how many it has once it has fetched what other holders have cached
      * @param preferred whether all instances send prompts that lack the same part to this engine:
      *     what it prefills then is computed for the first time
      */
-    static double prefill(int sharedTokens, int cachedTokens, int heldTokens, boolean preferred) {
+    static double prefill(
+            int sharedTokens, int cachedTokens, int tokensAfterFetch, boolean preferred) {
         int copiedTokens = Math.max(0, sharedTokens - cachedTokens);
-        int recomputedTokens = Math.max(0, sharedTokens - heldTokens);
+        int recomputedTokens = Math.max(0, sharedTokens - tokensAfterFetch);
         return preferred
                 ? PREFERRED_TARGET_COPY_COST_PER_TOKEN * copiedTokens
                 : recomputedTokens + COPY_COST_PER_TOKEN * copiedTokens;
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/PrefixIndex.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/PrefixIndex.java
@@ -91,7 +91,7 @@
     /**
      * Replaces the entries of a target by its own list of blocks.
      *
-     * @param sequence the last event that the list includes
+     * @param sequence the sequence number of the last event that the list includes
      */
     public void onResync(String target, long incarnation, long sequence, long[] keys) {
         Holder holder = currentHolder(target, incarnation);
@@ -144,13 +144,13 @@
         return holder != null && holder.mNeedsResync;
     }
 
-    /** Returns the last event applied for the target, 0 for none. */
+    /** Returns the sequence number of the last event applied for the target, 0 for none. */
     public long sequence(String target) {
         Holder holder = mHolders.get(target);
         return holder == null ? 0 : holder.mSequence;
     }
 
-    /** Returns the confirmed and expected blocks of a target, for a peer's snapshot. */
+    /** Returns the confirmed and expected blocks of a target, to be sent to another instance. */
     public long[] blocksOf(String target, long incarnation) {
         Holder holder = currentHolder(target, incarnation);
         return holder == null ? new long[0] : holder.mBlocks.keySet().toLongArray();
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/PromptCacheLocations.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/PromptCacheLocations.java
@@ -27,8 +27,9 @@
  * Where the parts of one prompt are cached, and which target is preferred for parts that are cached
  * nowhere; built once for a routing decision and queried for each target.
  *
- * <p>All targets are examined once for each version of weights instead of once for each other
- * target: of 50 targets a choice then takes a tenth of the time ({@code TargetSelectorScaleTest}).
+ * <p>For each version of the weights, all targets are examined once, and not again for each target
+ * that is queried: with 50 targets, a choice then takes a tenth of the time ({@code
+ * TargetSelectorScaleTest}).
  */
 final class PromptCacheLocations {
     /** Fewer tokens aren't worth a transfer: an engine prefills them in a millisecond. */
@@ -43,7 +44,7 @@
     private final Map<Long, VersionLocations> mByVersion = new HashMap<>();
 
     /**
-     * Creates the view for a request's prompt.
+     * Creates the locations for a request's prompt.
      *
      * @param request a request with a prompt
      * @param targets all known targets
@@ -86,8 +87,8 @@
     }
 
     /**
-     * Returns the source with most of the shared parts cached, if it has clearly more than the
-     * target.
+     * Returns the source with the most shared tokens cached, if it has enough more than the target
+     * to be worth a transfer.
      *
      * <p>Among several engines with equally many tokens, one in the target's failure domain is
      * chosen, from where a transfer takes half the time. Targets are spread over those engines, or
@@ -116,10 +117,11 @@
      * Returns whether all instances prefer this target for prompts that lack the same part: parts
      * that are prefilled elsewhere are most likely prefilled twice.
      *
-     * @param heldTokens how many leading tokens of the prompt are held
+     * @param presentTokens how many leading tokens of the prompt are present at the target, with or
+     *     without what it can fetch
      */
-    boolean isPreferredTarget(TargetState target, int heldTokens) {
-        long key = CacheKeys.affinityKey(mRequest.cacheScope(), mPrompt, heldTokens);
+    boolean isPreferredTarget(TargetState target, int presentTokens) {
+        long key = CacheKeys.affinityKey(mRequest.cacheScope(), mPrompt, presentTokens);
         long highest =
                 locationsFor(target)
                         .mHighestRanks
@@ -162,6 +164,8 @@
         private final Map<String, List<TargetState>> mHoldersByDomain = new HashMap<>();
 
         private final List<TargetState> mAllHolders = new ArrayList<>();
+
+        /** How many shared tokens each holder has; from 1, so that a target without any is none. */
         private int mMostTokens = 1;
 
         VersionLocations(long weights) {
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/Router.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/Router.java
@@ -26,19 +26,18 @@
  * Chooses the candidate with the lowest predicted cost.
  *
  * <p>The predicted time to first token is the prefill time of the queue plus that of the units that
- * aren't cached. Among candidates of nearly equal cost, rendezvous hashing of the prompt's last
- * full block decides, so that instances with empty or different views still send equal prefixes to
- * the same target. Not safe for use by several threads.
+ * aren't cached, and the wait for a slot. Among candidates of nearly equal cost, rendezvous hashing
+ * of the prompt's last full block decides, so that instances with empty or different views still
+ * send equal prefixes to the same target. Not safe for use by several threads.
  */
 public final class Router {
-    /**
-     * Costs that differ by less than this share of the lower one, or by fewer milliseconds, tie.
-     */
+    /** Costs that differ by no more than this share of the lower one count as equal. */
     private static final double TIE_SHARE = 0.02;
 
+    /** Costs that differ by no more than this count as equal, however low they are. */
     private static final double TIE_MILLIS = 2;
 
-    private static final int DEFAULT_UNITS_PER_MILLI = 100;
+    private static final int DEFAULT_PREFILL_UNITS_PER_MILLI = 100;
 
     /** How long a request is assumed to occupy its slot, as no better estimate is available. */
     private static final double DEFAULT_RUN_MILLIS = 1000;
@@ -146,7 +145,8 @@
         int requests = mLoads.requests(target.id());
         boolean full = requests >= requestLimit(target);
         double prefillMillis = (chain.units() - cachedUnits) / unitsPerMilli;
-        // An urgent request overtakes the queue; the delay of the others counts for little.
+        // An urgent request overtakes most of the queue. The delay of the requests that wait there
+        // matters little beside it and is left out.
         double cost =
                 urgent
                         ? mCostProfile.cost(URGENT_QUEUE_SHARE * queueMillis, prefillMillis, 0)
@@ -164,7 +164,7 @@
 
     private static double unitsPerMilli(TargetRecord target) {
         int speed = target.prefillUnitsPerMilli();
-        return speed > 0 ? speed : DEFAULT_UNITS_PER_MILLI;
+        return speed > 0 ? speed : DEFAULT_PREFILL_UNITS_PER_MILLI;
     }
 
     private static int requestLimit(TargetRecord target) {
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/ScoredTarget.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/ScoredTarget.java
@@ -28,8 +28,9 @@
  * @param admissionMillis the expected time to the first event, less what {@code Admission}
  *     discounts
  * @param expectedMillis the expected time to the first event
- * @param cost in the unit of {@link PlacementCost}; for plain requests in tenths of a full target.
- *     {@code admissionMillis} is 0 for them, and {@code expectedMillis} is the cost
+ * @param cost in the unit of {@link PlacementCost}; for plain requests in tenths of the load of a
+ *     target with all slots in use. {@code admissionMillis} is 0 for them, and {@code
+ *     expectedMillis} is the cost
  */
 record ScoredTarget(
         TargetState state,
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/SuccessorChoice.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/SuccessorChoice.java
@@ -22,7 +22,7 @@
  * @param eventIntervalMillis the expected time per further event there
  */
 public record SuccessorChoice(Choice choice, double eventIntervalMillis) {
-    /** Returns how long the rest of a stream with so many events would take there. */
+    /** Returns how long the rest of a stream would take there if it has {@code events} events. */
     public double remainingMillis(int events) {
         return choice.expectedMillis() + events * eventIntervalMillis;
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/TargetScorer.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/TargetScorer.java
@@ -25,20 +25,24 @@
 /** Predicts what a request costs at each target: queueing delay, prefill and evicted cache. */
 final class TargetScorer {
     /**
-     * Weights that were replaced this long ago add to the cost, well before they may not be used.
+     * Weights that have been outdated for longer than this add to the cost, well before requests
+     * may no longer go to them.
      */
-    private static final long OUTDATED_WEIGHTS_MILLIS = 1200;
+    private static final long OUTDATED_WEIGHTS_TOLERANCE_MILLIS = 1200;
 
-    /** Cost of a plain request to another failure domain, in tenths of a full target. */
+    /**
+     * Cost of a plain request to another failure domain, in tenths of the load of a target with all
+     * slots in use.
+     */
     private static final double CROSS_DOMAIN_COST = 0.5;
 
-    /** Spreads requests over targets of equal cost, in tenths of a full target. */
+    /** Spreads requests over targets of equal cost; in the unit of {@link ScoredTarget#cost}. */
     private static final double TIE_BREAK_NOISE = 0.1;
 
     /**
-     * Cost of a new connection for a plain request, in tenths of a full target. It is below the
-     * noise, so that each idle target is tried now and then and is known to work before it is
-     * needed.
+     * Cost of a new connection for a plain request, in the unit of {@link #CROSS_DOMAIN_COST}. It
+     * is below the noise, so that each idle target is tried now and then and is known to work
+     * before it is needed.
      */
     private static final double NEW_CONNECTION_COST = TIE_BREAK_NOISE / 2;
 
@@ -92,10 +96,10 @@
             long now) {
         double noise = mRandom.nextDouble() * TIE_BREAK_NOISE;
         if (locations.isEmpty()) {
-            double domain = state.isInFailureDomain(mFailureDomain) ? 0 : CROSS_DOMAIN_COST;
-            double connection = state.isConnected() ? 0 : NEW_CONNECTION_COST;
-            double load = 10.0 * state.openRequests() / state.slots();
-            double cost = load + domain + connection + noise;
+            double domainCost = state.isInFailureDomain(mFailureDomain) ? 0 : CROSS_DOMAIN_COST;
+            double connectionCost = state.isConnected() ? 0 : NEW_CONNECTION_COST;
+            double loadCost = 10.0 * state.openRequests() / state.slots();
+            double cost = loadCost + domainCost + connectionCost + noise;
             return new ScoredTarget(state, Choice.NO_WEIGHTS, "", 0, 0, 0, "", 0, cost, cost);
         }
         return scoreEngine(state, request, locations.get(), noise, now);
@@ -116,9 +120,9 @@
         Prompt prompt = request.prompt().orElseThrow();
         int cachedTokens = locations.cachedTokens(state);
         Optional<KvSource> source = locations.transferSource(state, cachedTokens);
-        int heldTokens = source.map(KvSource::tokens).orElse(cachedTokens);
+        int tokensAfterFetch = source.map(KvSource::tokens).orElse(cachedTokens);
         double fetchMillis = source.map(s -> s.fetchMillis(s.tokens() - cachedTokens)).orElse(0.0);
-        int missingTokens = Math.max(1, prompt.tokens() - heldTokens);
+        int missingTokens = Math.max(1, prompt.tokens() - tokensAfterFetch);
         double waitMillis =
                 mCostModel.waitMillis(state.backlogTokens(), state.openRequests(), state.slots())
                         + state.excessMillis(now)
@@ -127,14 +131,14 @@
                 waitMillis
                         + fetchMillis
                         + mCostModel.firstTokenMillis(missingTokens, state.openRequests());
-        double ownPrefillMillis =
+        double unsharedPrefillMillis =
                 mCostModel.prefillMillis(prompt.tokens() - locations.sharedTokens());
-        double discountedMillis = Admission.discountedPrefillMillis(request, ownPrefillMillis);
-        boolean outdated = outdatedMillis(state, prompt, now) > OUTDATED_WEIGHTS_MILLIS;
+        double discountedMillis = Admission.discountedPrefillMillis(request, unsharedPrefillMillis);
+        boolean outdated = outdatedMillis(state, prompt, now) > OUTDATED_WEIGHTS_TOLERANCE_MILLIS;
         double costToOthers = mCostModel.costToOthers(missingTokens, state.openRequests());
         double cost =
                 PlacementCost.lateness(expectedMillis, request.route().latencyObjectiveMillis())
-                        + prefillCost(state, locations, cachedTokens, heldTokens)
+                        + prefillCost(state, locations, cachedTokens, tokensAfterFetch)
                         + costToOthers
                         + (outdated ? PlacementCost.OUTDATED_WEIGHTS_COST_TOKENS : 0)
                         + (state.isConnected() ? 0 : PlacementCost.NEW_CONNECTION_COST_TOKENS)
@@ -146,9 +150,9 @@
                 state,
                 state.weights(prompt.model()),
                 locations.salt(state),
-                heldTokens,
+                tokensAfterFetch,
                 missingTokens,
-                heldTokens - cachedTokens,
+                tokensAfterFetch - cachedTokens,
                 source.map(KvSource::address).orElse(""),
                 expectedMillis - discountedMillis,
                 expectedMillis,
@@ -156,12 +160,13 @@
     }
 
     /**
-     * Returns the store if it has shared parts cached that the target is expected to have as well.
+     * Returns the store's address if it has shared parts cached that the target is expected to have
+     * as well, else an empty string.
      *
-     * <p>An engine evicts within seconds what isn't requested, and that is known only some hundred
-     * milliseconds later. Asking the store then costs the engine a millisecond; prefilling the
-     * parts again costs some seventy. Other engines aren't used: one that has just failed costs
-     * some hundred.
+     * <p>An engine evicts within seconds what isn't requested, and this instance learns of it only
+     * some hundred milliseconds later. Asking the store then costs the engine a millisecond;
+     * prefilling the parts again costs some seventy. Other engines aren't used: fetching from one
+     * that has just failed costs some hundred.
      */
     String fallbackSource(ScoredTarget scored, PromptCacheLocations locations) {
         return locations.storedTokens(scored.state()) >= MIN_SHARED_TOKENS ? mStore.address() : "";
@@ -169,9 +174,9 @@
 
     /**
      * Returns the store's address if the request has shared parts that the store lacks, so that the
-     * target sends them there.
+     * target sends them there, else an empty string.
      */
-    String uploadStore(ScoredTarget scored, PromptCacheLocations locations) {
+    String uploadDestination(ScoredTarget scored, PromptCacheLocations locations) {
         boolean shouldUpload =
                 mStore.isUsable()
                         && locations.sharedTokens() >= MIN_SHARED_TOKENS
@@ -186,12 +191,16 @@
     }
 
     private static double prefillCost(
-            TargetState state, PromptCacheLocations locations, int cachedTokens, int heldTokens) {
+            TargetState state,
+            PromptCacheLocations locations,
+            int cachedTokens,
+            int tokensAfterFetch) {
         int sharedTokens = locations.sharedTokens();
-        // One target is preferred for a part that is cached nowhere, and one for a fetched prefix.
-        int presentTokens = heldTokens < sharedTokens ? heldTokens : cachedTokens;
+        // If a part can't be fetched, one target is preferred for prefilling the first such part.
+        // Otherwise one is preferred for fetching the first part that this target lacks.
+        int presentTokens = tokensAfterFetch < sharedTokens ? tokensAfterFetch : cachedTokens;
         boolean preferred =
                 cachedTokens < sharedTokens && locations.isPreferredTarget(state, presentTokens);
-        return PlacementCost.prefill(sharedTokens, cachedTokens, heldTokens, preferred);
+        return PlacementCost.prefill(sharedTokens, cachedTokens, tokensAfterFetch, preferred);
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/TargetSelector.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/TargetSelector.java
@@ -83,8 +83,8 @@
      * Records which control process last reported a target.
      *
      * @param reporter the control process
-     * @param reportedAt when that or another one received the target's own report, as stated by the
-     *     reporter
+     * @param reportedAt when that or another one received the target's own report, in milliseconds
+     *     of this instance's clock
      */
     public void onReportOrigin(String id, String reporter, long reportedAt) {
         TargetState state = mTargets.get(id);
@@ -135,7 +135,7 @@
         if (cache == null) {
             return;
         }
-        if (update.restarted()) {
+        if (update.discardsPrevious()) {
             cache.clear();
         }
         update.removed().forEach(cache::remove);
@@ -217,9 +217,10 @@
     }
 
     /**
-     * Returns the best target for a request, if there is one: the cheapest of those whose queue is
-     * short enough for it and that cost at most a refusal more than the cheapest of all, or else
-     * the latter.
+     * Returns the best target for a request, if there is one: the cheapest that {@link Admission}
+     * admits, provided that it costs at most {@code PlacementCost.REFUSAL_COST_TOKENS} more than
+     * the cheapest of all. Otherwise it is the cheapest of all, for which the caller may have to
+     * refuse the request.
      */
     public Optional<Choice> choose(ForwardRequest request, Set<String> excluded, long now) {
         Optional<PromptCacheLocations> locations = mScorer.cacheLocations(request, now);
@@ -245,10 +246,10 @@
     }
 
     /**
-     * Returns the healthy target that is expected to complete the rest of a stream first, if there
-     * is one.
+     * Returns the healthy target that is expected to be the first to complete a stream, if there is
+     * one.
      *
-     * @param remainingEvents how many events the rest has at most
+     * @param remainingEvents how many events of the stream are missing at most
      */
     public Optional<SuccessorChoice> chooseSuccessor(
             ForwardRequest request, Set<String> excluded, int remainingEvents, long now) {
@@ -292,7 +293,7 @@
                 best.cacheSource().isEmpty()
                         ? locations.map(l -> mScorer.fallbackSource(best, l)).orElse("")
                         : best.cacheSource(),
-                locations.map(l -> mScorer.uploadStore(best, l)).orElse(""),
+                locations.map(l -> mScorer.uploadDestination(best, l)).orElse(""),
                 Math.round(best.admissionMillis()),
                 Math.round(best.expectedMillis()),
                 runnerUp == null ? "" : runnerUp.state().id(),
@@ -320,7 +321,7 @@
         }
     }
 
-    /** Records that the prefill of a request is done, or will never be. */
+    /** Records that the prefill of a request is done, or that it won't take place. */
     public void onPrefillEnd(Choice choice) {
         TargetState state = mTargets.get(choice.target());
         if (state != null) {
@@ -328,20 +329,20 @@
         }
     }
 
-    /** Records the first event of an answer, so many milliseconds after the request was sent. */
-    public void onFirstEvent(Choice choice, long millis, long now) {
+    /** Records the first event of an answer, {@code sinceDispatchMillis} after the request. */
+    public void onFirstEvent(Choice choice, long sinceDispatchMillis, long now) {
         if (choice.fetchedTokens() > 0 && choice.cacheSource().equals(mStore.address())) {
             // The store's link is shared by all engines, so a delay doesn't indicate a slow engine.
-            mStore.onFirstEventAfterFetch(millis, choice.expectedMillis(), now);
+            mStore.onFirstEventAfterFetch(sinceDispatchMillis, choice.expectedMillis(), now);
             return;
         }
         TargetState state = mTargets.get(choice.target());
         if (state != null) {
-            state.onFirstEvent(millis, choice.expectedMillis(), now);
+            state.onFirstEvent(sinceDispatchMillis, choice.expectedMillis(), now);
         }
     }
 
-    /** Records a further event of an answer, so many milliseconds after the one before it. */
+    /** Records a further event of an answer, {@code sinceLastMillis} after the previous one. */
     public void onEvent(String id, long sinceLastMillis, long now) {
         TargetState state = mTargets.get(id);
         if (state != null) {
@@ -410,7 +411,7 @@
         return Admission.retryAfterMillis(request, mRandom, now);
     }
 
-    /** Returns all targets; callers don't modify the collection. */
+    /** Returns all targets; callers must not modify the collection. */
     public Collection<TargetState> targets() {
         return mTargets.values();
     }
@@ -423,7 +424,8 @@
     }
 
     /**
-     * Returns the targets that may accept a request: the healthy ones or, without any, the others.
+     * Returns the targets that may accept a request: the healthy ones or, if there are none, the
+     * unhealthy ones.
      */
     private List<TargetState> candidates(ForwardRequest request, Set<String> excluded, long now) {
         List<TargetState> healthy = new ArrayList<>();
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/TargetState.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/TargetState.java
@@ -30,11 +30,11 @@
     private static final long MIN_DRAIN_MILLIS = 300;
 
     /**
-     * While more requests than this run together, an engine advances each nearly as fast as a
-     * single one: a step of 4 ms grows by 0.1 ms per request. The last few delay the load for
-     * seconds and use little of the engine, so they are moved.
+     * Runs are moved before {@link #MAX_DRAIN_MILLIS} if no more than this number remain: they use
+     * little of the engine, but may delay the load for seconds. An engine runs many requests nearly
+     * as fast as one, since each lengthens a step of 4 ms by only 0.1 ms.
      */
-    private static final int MAX_MOVED_RUNS = 16;
+    private static final int MAX_RUNS_FOR_EARLY_MOVE = 16;
 
     /** After this time, the remaining runs delay the load too long, however many they are. */
     private static final long MAX_DRAIN_MILLIS = 1500;
@@ -135,8 +135,9 @@
      */
     boolean shouldMoveStreams(long now) {
         long drainMillis = now - mLoadingSince;
-        boolean few = openRequests() <= MAX_MOVED_RUNS && drainMillis >= MIN_DRAIN_MILLIS;
-        return isLoading(now) && (few || drainMillis >= MAX_DRAIN_MILLIS);
+        boolean fewRemain =
+                openRequests() <= MAX_RUNS_FOR_EARLY_MOVE && drainMillis >= MIN_DRAIN_MILLIS;
+        return isLoading(now) && (fewRemain || drainMillis >= MAX_DRAIN_MILLIS);
     }
 
     boolean acceptsRequestsFor(String service, long now) {
@@ -205,9 +206,9 @@
     }
 
     /**
-     * Returns whether the target has failed or was overloaded lately, or has sent nothing for a
-     * while although it has requests open or doesn't answer the control process that reads its
-     * cache events.
+     * Returns whether the target has failed or was overloaded lately. It is also unhealthy if this
+     * instance has received nothing from it for a while and either has requests open there or knows
+     * that it doesn't answer the control process that reads its cache events.
      */
     boolean isUnhealthy(long now) {
         boolean receivedRecently = receivedWithin(UNRESPONSIVE_MILLIS, now);
--- a/quilldyke-core/src/main/java/org/quilldyke/weights/EngineFleet.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/weights/EngineFleet.java
@@ -23,7 +23,7 @@
 /**
  * The engines as the planner sees them.
  *
- * @param engines the live engines
+ * @param engines the engines whose leases haven't expired
  * @param unresponsive the ids of those that don't answer at present; they aren't ordered to load
  * @param openRequestCounts open requests of each engine by id; idle engines may be missing
  */
--- a/quilldyke-core/src/main/java/org/quilldyke/weights/LoadAction.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/weights/LoadAction.java
@@ -15,7 +15,7 @@
  */
 package org.quilldyke.weights;
 
-/** An action of the {@link LoadPlanner} to bring engines to new weights. */
+/** An action that the {@link LoadPlanner} requests, so that engines load new weights. */
 public sealed interface LoadAction {
     /** Returns the engine that it concerns. */
     String target();
@@ -27,14 +27,20 @@
     record AnnounceLoading(String target) implements LoadAction {}
 
     /**
-     * Notify all instances that the engine accepts requests again; the version is 0 if it was given
-     * up.
+     * Notify all instances that the engine accepts requests again.
+     *
+     * @param version the version that it has loaded, 0 if the load was abandoned
      */
     record ReturnToService(String target, String model, long version) implements LoadAction {}
 
     /** Query the engine's status. */
     record QueryStatus(String target) implements LoadAction {}
 
-    /** Order the engine to load weights. */
+    /**
+     * Order the engine to load weights.
+     *
+     * @param revision the revision from its status, at which alone the order is valid: {@link
+     *     EngineStatus#revision()}
+     */
     record Order(String target, String model, long version, long revision) implements LoadAction {}
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/weights/LoadPlanner.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/weights/LoadPlanner.java
@@ -28,16 +28,16 @@
 /**
  * Decides which engine loads which weights next.
  *
- * <p>Only the instance that holds the right to order uses it. A few engines load at once while the
- * others serve; a version that is replaced before an engine starts to load it is skipped. An engine
- * is announced first, so that no instance sends it requests, then queried for its revision, then
- * ordered at that revision: an order whose answer was lost and that takes effect later can't undo a
- * newer one.
+ * <p>Only the control process that may order engines to load uses it. A few engines load at once
+ * while the others serve; a version that is replaced before an engine starts to load it is skipped.
+ * An engine is announced first, so that no instance sends it requests, then queried for its
+ * revision, then ordered at that revision: an order whose answer was lost and that takes effect
+ * later can't undo a newer one.
  */
 public final class LoadPlanner {
     /**
-     * Share of engines that may load at once: 2 of 6, 18 of 63. More slow each other down. Engines
-     * that are down don't count, since the live ones are needed all the more.
+     * Share of the responsive engines that may load at once: 2 of 6, 18 of 63. More slow each other
+     * down. Unresponsive engines aren't counted, since the others are needed all the more.
      */
     static final double MAX_CONCURRENT_SHARE = 2.0 / 7;
 
@@ -50,13 +50,16 @@
     /** Interval of the status queries after that. */
     static final long POLL_MILLIS = 250;
 
-    /** Delay before an engine that didn't answer is queried again. */
+    /**
+     * Delay before an engine that didn't answer is queried again, an order without an effect is
+     * repeated or an abandoned load is retried.
+     */
     static final long RETRY_MILLIS = 500;
 
-    /** After this many unanswered queries, an engine that hasn't been ordered is given up. */
+    /** After this many unanswered queries, a load that hasn't been ordered is abandoned. */
     static final int MAX_UNANSWERED_QUERIES = 2;
 
-    /** An engine that hasn't loaded within this time is given up and retried later. */
+    /** A load that isn't done this long after its announcement is abandoned and retried later. */
     static final long LOAD_TIMEOUT_MILLIS = 8000;
 
     private final Map<String, Job> mJobs = new HashMap<>();
@@ -121,17 +124,18 @@
         }
         if (status.busy() || job.mOrdered && status.revision() > job.mRevision) {
             // In progress, by this order or by an earlier one that was assumed lost.
-            job.mDueAt = now + POLL_MILLIS;
+            job.mNextQueryAt = now + POLL_MILLIS;
             return List.of();
         }
         if (job.mOrdered && now - job.mOrderedAt < RETRY_MILLIS) {
-            job.mDueAt = now + POLL_MILLIS;
+            // The order may still take effect.
+            job.mNextQueryAt = now + POLL_MILLIS;
             return List.of();
         }
         job.mRevision = status.revision();
         job.mOrdered = true;
         job.mOrderedAt = now;
-        job.mDueAt = now + FIRST_POLL_MILLIS;
+        job.mNextQueryAt = now + FIRST_POLL_MILLIS;
         return List.of(new LoadAction.Order(target, job.mModel, job.mVersion, status.revision()));
     }
 
@@ -142,7 +146,7 @@
             return List.of();
         }
         job.mStatusPending = false;
-        job.mDueAt = now + RETRY_MILLIS;
+        job.mNextQueryAt = now + RETRY_MILLIS;
         job.mUnansweredQueries++;
         boolean keepWaiting = job.mOrdered || job.mUnansweredQueries < MAX_UNANSWERED_QUERIES;
         return keepWaiting ? List.of() : List.of(abandon(job, now));
@@ -161,9 +165,9 @@
             }
             case CONFLICT, REFUSED -> {
                 job.mOrdered = false;
-                job.mDueAt = now + POLL_MILLIS;
+                job.mNextQueryAt = now + POLL_MILLIS;
             }
-            case UNKNOWN -> job.mDueAt = now + ANNOUNCEMENT_DELAY_MILLIS;
+            case UNKNOWN -> job.mNextQueryAt = now + ANNOUNCEMENT_DELAY_MILLIS;
             default -> {
                 // Accepted: status queries show when it is done.
             }
@@ -190,8 +194,8 @@
     private void startLoads(
             EngineFleet fleet, String model, long version, List<LoadAction> actions, long now) {
         List<TargetReport> engines = byPriority(fleet, model);
-        long live = engines.stream().filter(engine -> !fleet.isUnresponsive(engine)).count();
-        long maxConcurrent = Math.max(1, Math.round(live * MAX_CONCURRENT_SHARE));
+        long responsive = engines.stream().filter(engine -> !fleet.isUnresponsive(engine)).count();
+        long maxConcurrent = Math.max(1, Math.round(responsive * MAX_CONCURRENT_SHARE));
         long loading = mJobs.values().stream().filter(job -> job.mModel.equals(model)).count();
         for (TargetReport engine : engines) {
             boolean due =
@@ -224,7 +228,7 @@
     private void advance(Job job, List<LoadAction> actions, long now) {
         if (now - job.mStartedAt > LOAD_TIMEOUT_MILLIS) {
             actions.add(abandon(job, now));
-        } else if (!job.mStatusPending && now >= job.mDueAt) {
+        } else if (!job.mStatusPending && now >= job.mNextQueryAt) {
             job.mStatusPending = true;
             actions.add(new LoadAction.QueryStatus(job.mTarget));
         }
@@ -242,7 +246,7 @@
         final String mModel;
         final long mVersion;
         final long mStartedAt;
-        long mDueAt;
+        long mNextQueryAt;
         boolean mStatusPending;
         boolean mOrdered;
         long mOrderedAt;
@@ -254,7 +258,7 @@
             mModel = model;
             mVersion = version;
             mStartedAt = now;
-            mDueAt = now + ANNOUNCEMENT_DELAY_MILLIS;
+            mNextQueryAt = now + ANNOUNCEMENT_DELAY_MILLIS;
         }
     }
 }
--- a/quilldyke-core/src/test/java/org/quilldyke/routing/EventIntervalTrackerTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/routing/EventIntervalTrackerTest.java
@@ -73,8 +73,8 @@
         assertThat(mTracker.intervalMillis(40, mNow)).isWithin(0.001).of(20);
         assertThat(mTracker.intervalMillis(40, mNow + 4000)).isWithin(0.001).of(30);
         for (long later = 0; later < 12_000; later += 100) {
-            double now = mTracker.intervalMillis(40, mNow + later);
-            assertThat(mTracker.intervalMillis(40, mNow + later + 100)).isWithin(4).of(now);
+            double interval = mTracker.intervalMillis(40, mNow + later);
+            assertThat(mTracker.intervalMillis(40, mNow + later + 100)).isWithin(4).of(interval);
         }
         assertThat(mTracker.intervalMillis(40, mNow + 11_000)).isEqualTo(40.0);
     }
--- a/quilldyke-core/src/test/java/org/quilldyke/routing/RateLimitShareTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/routing/RateLimitShareTest.java
@@ -26,13 +26,13 @@
 
 /** Checks what all instances together send to a target that advertises a limit. */
 class RateLimitShareTest {
-    private static final long SPAN_MILLIS = 4000;
+    private static final long WINDOW_MILLIS = 4000;
     private static final long STEP_MILLIS = 20;
     private static final long RUN_MILLIS = 120_000;
 
     /**
-     * The most sharers of a target, and the number of requests that it tolerates beyond one and a
-     * half times its limit.
+     * The most sharers of a target, and the number of requests that it accepts in a window beyond
+     * one and a half times its limit.
      */
     private static final int MAX_SHARERS = 5;
 
@@ -97,9 +97,9 @@
         for (int sharers = 1; sharers <= MAX_SHARERS; sharers++) {
             for (double limit : List.of(0.0, 0.3, 1.2, 1.9, 5.0, 40.0)) {
                 for (int seed = 1; seed <= 20; seed++) {
-                    int allowed = (int) (1.5 * limit * SPAN_MILLIS / 1000) + MAX_SHARERS;
-                    assertThat(maxSentInSpan(sharers, limit, 0, seed)).isAtMost(allowed);
-                    assertThat(maxSentInSpan(sharers, limit, RUN_MILLIS / 2, seed))
+                    int allowed = (int) (1.5 * limit * WINDOW_MILLIS / 1000) + MAX_SHARERS;
+                    assertThat(maxSentInWindow(sharers, limit, 0, seed)).isAtMost(allowed);
+                    assertThat(maxSentInWindow(sharers, limit, RUN_MILLIS / 2, seed))
                             .isAtMost(allowed);
                 }
             }
@@ -107,9 +107,10 @@
     }
 
     /**
-     * Returns the most requests sent in a span if all shares are used continuously from a time on.
+     * Returns the most requests sent in a window if all shares are used continuously from {@code
+     * startMillis} on.
      */
-    private static int maxSentInSpan(int sharers, double limit, long startMillis, int seed) {
+    private static int maxSentInWindow(int sharers, double limit, long startMillis, int seed) {
         SplittableRandom random = new SplittableRandom(seed);
         List<RateLimitShare> shares = new ArrayList<>();
         for (int i = 0; i < sharers; i++) {
@@ -125,7 +126,7 @@
                     sent.add(now);
                 }
             }
-            while (first < sent.size() && sent.get(first) <= now - SPAN_MILLIS) {
+            while (first < sent.size() && sent.get(first) <= now - WINDOW_MILLIS) {
                 first++;
             }
             max = Math.max(max, sent.size() - first);
--- a/quilldyke-core/src/test/java/org/quilldyke/routing/RouterTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/routing/RouterTest.java
@@ -64,10 +64,10 @@
         Router other =
                 Router.create(CostProfile.LATENCY, PrefixIndex.create(), LoadTable.create(100));
 
-        String here = mRouter.decide(candidates(6), false).target().id();
-        String there = other.decide(candidates(6), false).target().id();
+        String chosen = mRouter.decide(candidates(6), false).target().id();
+        String chosenByOther = other.decide(candidates(6), false).target().id();
 
-        assertThat(there).isEqualTo(here);
+        assertThat(chosenByOther).isEqualTo(chosen);
     }
 
     @Test
--- a/quilldyke-core/src/test/java/org/quilldyke/routing/TargetSelectorScaleTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/routing/TargetSelectorScaleTest.java
@@ -47,8 +47,8 @@
                             new Prompt.Part(3, 2700)));
 
     /**
-     * Guards against comparing each engine with each other one: a choice then took 0.5 ms of 50
-     * engines and 277 ms of 1,000, 540 times as long, instead of 0.05 and 0.7 ms. Measures
+     * Guards against comparing each engine with each other one: a choice then took 0.5 ms with 50
+     * engines and 277 ms with 1,000, 540 times as long, instead of 0.05 and 0.7 ms. Measures
      * processor time of this thread, the least of several rounds, so that other load doesn't count.
      */
     @Test
@@ -57,6 +57,7 @@
         double large = nanosPerChoice(1000);
 
         System.out.printf("a choice of 50: %.0f us, of 1000: %.0f us%n", small / 1e3, large / 1e3);
+        // There are twenty times as many engines; four is the margin.
         assertThat(large / small).isLessThan(4 * 20.0);
     }
 
--- a/quilldyke-core/src/test/java/org/quilldyke/routing/TargetSelectorTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/routing/TargetSelectorTest.java
@@ -182,8 +182,8 @@
     }
 
     /**
-     * Guards against counting a prompt that an engine refused to prefill as cached until the engine
-     * ends.
+     * Guards against a prompt that an engine refused to prefill counting as cached there for as
+     * long as the engine lives.
      */
     @Test
     void expectedPartsExpireUnlessConfirmed() {
@@ -243,7 +243,7 @@
     }
 
     /**
-     * Guards against refusals under low load for the queue of the preferred target while other
+     * Guards against refusals under low load because of the preferred target's queue while other
      * targets are idle.
      */
     @Test
@@ -380,7 +380,7 @@
 
     /**
      * Guards against a load delayed by the last streams: with fifteen of forty moved, the last of
-     * the others ran for five seconds more.
+     * the others ran for another five seconds.
      */
     @Test
     void streamsMoveFromALoadingEngineWhenFewRemainOrTheDrainIsTooLong() {
@@ -446,7 +446,7 @@
         assertThat(successor(100, Set.of("b")).get().choice().target()).isEqualTo("c");
     }
 
-    /** The backlog of prompts at a target counts against its short event interval. */
+    /** For a short rest of a stream, a backlog of prompts outweighs a short event interval. */
     @Test
     void successorForFewEventsHasTheEarliestPrefill() {
         addEvents("a", 100);
--- a/quilldyke-core/src/test/java/org/quilldyke/weights/LoadPlannerTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/weights/LoadPlannerTest.java
@@ -156,11 +156,11 @@
     void statusOfAnotherIncarnationIsIgnored() {
         List<TargetReport> engines = List.of(engine("e#7", 1));
         startLoading(engines);
-        EngineStatus done = new EngineStatus(false, 9, Map.of("m", 2L), 5);
+        EngineStatus otherStatus = new EngineStatus(false, 9, Map.of("m", 2L), 5);
 
-        assertThat(mPlanner.onStatus("e#7", done, 55)).isEmpty();
+        assertThat(mPlanner.onStatus("e#7", otherStatus, 55)).isEmpty();
         mPlanner.tick(fleet(engines, Set.of()), WANTED, 600);
-        assertThat(mPlanner.onStatus("e#7", done, 610))
+        assertThat(mPlanner.onStatus("e#7", otherStatus, 610))
                 .containsExactly(new LoadAction.ReturnToService("e#7", "m", 0));
     }
 
@@ -169,11 +169,11 @@
         startLoading(List.of(engine("e#5", 1)));
         mPlanner.onStatus("e#5", new EngineStatus(false, 4, Map.of("m", 1L), 5), 55);
 
-        List<TargetReport> again = List.of(engine("e#7", 1));
-        assertThat(mPlanner.tick(fleet(again, Set.of()), WANTED, 100))
+        List<TargetReport> restarted = List.of(engine("e#7", 1));
+        assertThat(mPlanner.tick(fleet(restarted, Set.of()), WANTED, 100))
                 .containsExactly(new LoadAction.AnnounceLoading("e#7"));
         assertThat(mPlanner.onOrderOutcome("e#5", OrderOutcome.HOLDS, 110)).isEmpty();
-        mPlanner.tick(fleet(again, Set.of()), WANTED, 150);
+        mPlanner.tick(fleet(restarted, Set.of()), WANTED, 150);
         assertThat(mPlanner.onStatus("e#7", new EngineStatus(false, 0, Map.of("m", 1L), 7), 155))
                 .containsExactly(new LoadAction.Order("e#7", "m", 2, 0));
     }
