--- a/quilldyke-core/src/main/java/org/quilldyke/caller/Forwarding.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/Forwarding.java
@@ -87,7 +87,7 @@
         mRetryBudget = retryBudget;
         mShutdown = shutdown;
         mSuspects = suspects;
-        mHistory = new RunHistory(request.route().maxAttempts());
+        mHistory = new RunHistory(request.route().maxRuns());
         mHandover = new Handover(request.route());
         mMigration = new ShutdownMigration(request, targets, shutdown);
         mLastRelayedEvent = request.resumeAfterEvent();
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/Departure.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/Departure.java
@@ -33,6 +33,6 @@
 
     /** Returns the departure of a target whose last report said that it is leaving. */
     public static Departure upTo(TargetReport lastReport, long recordedAt) {
-        return new Departure(lastReport.id(), lastReport.sequence(), recordedAt);
+        return new Departure(lastReport.key(), lastReport.sequence(), recordedAt);
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/Departures.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/Departures.java
@@ -37,7 +37,7 @@
 
     /** Returns whether a report was made before its sender departed. */
     boolean precedesDeparture(TargetReport report) {
-        Departure known = mByTarget.get(report.id());
+        Departure known = mByTarget.get(report.key());
         return known != null && report.sequence() <= known.lastSequence();
     }
 
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/ReportRules.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/ReportRules.java
@@ -61,7 +61,7 @@
 
     /** Returns the code of the first rule that a report violates. */
     public static Optional<ResultCode> findViolation(TargetReport report) {
-        if (!isId(Incarnation.ofKey(report.id()).id())) {
+        if (!isId(Incarnation.ofKey(report.key()).id())) {
             return Optional.of(ResultCode.REPORT_ID);
         }
         if (!SocketAddresses.isIpAndPort(report.address())) {
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/TargetRegistry.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/TargetRegistry.java
@@ -80,23 +80,23 @@
                 || mLatestIncarnations.isSuperseded(report.incarnation())) {
             return false;
         }
-        Entry known = mEntries.get(report.id());
+        Entry known = mEntries.get(report.key());
         if (known != null && !report.supersedes(known.mReport)) {
             known.mLastSeenAt = Math.max(known.mLastSeenAt, seenAt);
             return false;
         }
-        if (mAuthoritative && isFromDisplacedTarget(report.id(), seenAt)) {
+        if (mAuthoritative && isFromDisplacedTarget(report.key(), seenAt)) {
             if (report.leaving() && mDepartures.add(Departure.upTo(report, seenAt))) {
                 // It asks for no more requests, whichever target has the address now and even if it
                 // still answers.
-                mInferredDepartures.add(report.id());
+                mInferredDepartures.add(report.key());
             }
             return false;
         }
         boolean replacesEarlier = supersedeEarlier(report.incarnation());
         displaceOthers(report, seenAt);
         if (known == null) {
-            mEntries.put(report.id(), new Entry(report, seenAt, replacesEarlier));
+            mEntries.put(report.key(), new Entry(report, seenAt, replacesEarlier));
             return true;
         }
         boolean changed = known.mReport.isRestored() || !known.mReport.isEquivalentTo(report);
@@ -262,19 +262,19 @@
         List<Entry> displaced =
                 mEntries.values().stream()
                         .filter(other -> other.mReport.address().equals(report.address()))
-                        .filter(other -> !other.mReport.id().equals(report.id()))
+                        .filter(other -> !other.mReport.key().equals(report.key()))
                         .filter(other -> other.mLastSeenAt < seenAt)
                         .toList();
         for (Entry other : displaced) {
-            mEntries.remove(other.mReport.id());
-            mNewlyDisplaced.add(other.mReport.id());
-            mDisplaced.put(other.mReport.id(), new Displaced(report.id(), seenAt));
+            mEntries.remove(other.mReport.key());
+            mNewlyDisplaced.add(other.mReport.key());
+            mDisplaced.put(other.mReport.key(), new Displaced(report.key(), seenAt));
         }
-        mLapsed.remove(report.id());
+        mLapsed.remove(report.key());
         for (Map.Entry<String, Lapsed> lapsed : List.copyOf(mLapsed.entrySet())) {
             if (lapsed.getValue().address().equals(report.address())) {
                 mLapsed.remove(lapsed.getKey());
-                mDisplaced.put(lapsed.getKey(), new Displaced(report.id(), seenAt));
+                mDisplaced.put(lapsed.getKey(), new Displaced(report.key(), seenAt));
             }
         }
     }
@@ -331,10 +331,10 @@
             }
         }
         for (TargetReport report : lapsed) {
-            mEntries.remove(report.id());
-            mLapsed.put(report.id(), new Lapsed(report.address(), now));
+            mEntries.remove(report.key());
+            mLapsed.put(report.key(), new Lapsed(report.address(), now));
             if (report.leaving() && mDepartures.add(Departure.upTo(report, now))) {
-                mInferredDepartures.add(report.id());
+                mInferredDepartures.add(report.key());
             }
         }
         return lapsed;
@@ -356,7 +356,7 @@
                 mEntries.values().stream()
                         .map(entry -> entry.mReport)
                         .filter(TargetReport::isRestored)
-                        .map(TargetReport::id)
+                        .map(TargetReport::key)
                         .toList();
         ids.forEach(mEntries::remove);
         return ids;
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/TargetReport.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/TargetReport.java
@@ -20,7 +20,7 @@
 /**
  * A target's report of its own state.
  *
- * @param id the key of the target's incarnation, see {@link Incarnation#key()}
+ * @param key the key of the target's incarnation, see {@link Incarnation#key()}
  * @param service the service that it belongs to
  * @param address the IP address and port at which it accepts requests
  * @param failureDomain its failure domain
@@ -32,7 +32,7 @@
  * @param sequence a number that grows with each report of this incarnation
  */
 public record TargetReport(
-        String id,
+        String key,
         String service,
         String address,
         String failureDomain,
@@ -52,12 +52,12 @@
 
     /** Returns the incarnation that reports. */
     public Incarnation incarnation() {
-        return Incarnation.ofKey(id);
+        return Incarnation.ofKey(key);
     }
 
     /** Returns whether another report has the same content, regardless of its sequence. */
     public boolean isEquivalentTo(TargetReport other) {
-        return id.equals(other.id)
+        return key.equals(other.key)
                 && service.equals(other.service)
                 && address.equals(other.address)
                 && slots == other.slots
@@ -99,7 +99,7 @@
     private TargetReport with(
             boolean isLeaving, Map<String, Long> otherWeights, long otherSequence) {
         return new TargetReport(
-                id,
+                key,
                 service,
                 address,
                 failureDomain,
--- a/quilldyke-core/src/main/java/org/quilldyke/manifest/Route.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/manifest/Route.java
@@ -29,7 +29,7 @@
  * @param eventGapMillis the objective for the time between two events of a stream
  * @param priority the priority; 0 is the highest
  * @param shares the services and their shares of the requests
- * @param maxAttempts the maximum number of targets that may run one request
+ * @param maxRuns the maximum number of targets that may run one request
  * @param allowsAnonymous whether requests are accepted without a key
  * @param carriesPrompts whether the requests carry prompts, whose prefixes targets cache
  * @param resumable whether a stream may be resumed at another target after a given event
@@ -44,7 +44,7 @@
         long eventGapMillis,
         int priority,
         List<Share> shares,
-        int maxAttempts,
+        int maxRuns,
         boolean allowsAnonymous,
         boolean carriesPrompts,
         boolean resumable) {
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/TargetSelector.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/TargetSelector.java
@@ -71,9 +71,9 @@
 
     /** Applies a target's report. */
     public void onReport(TargetReport report) {
-        TargetState state = mTargets.get(report.id());
+        TargetState state = mTargets.get(report.key());
         if (state == null) {
-            mTargets.put(report.id(), new TargetState(report));
+            mTargets.put(report.key(), new TargetState(report));
         } else {
             state.onReport(report);
         }
--- a/quilldyke-core/src/main/java/org/quilldyke/routing/TargetState.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/routing/TargetState.java
@@ -71,15 +71,15 @@
 
     TargetState(TargetReport report) {
         mReport = report;
-        mIdHash = Rendezvous.hash(report.id());
+        mIdHash = Rendezvous.hash(report.key());
         mWeights.putAll(report.weights());
-        mAdvertisedLimit = AdvertisedLimit.unknown(report.id());
+        mAdvertisedLimit = AdvertisedLimit.unknown(report.key());
         mPublishedLimit = mAdvertisedLimit;
     }
 
     /** Returns the target's id. */
     public String id() {
-        return mReport.id();
+        return mReport.key();
     }
 
     /** Returns where the target accepts requests. */
--- a/quilldyke-core/src/main/java/org/quilldyke/weights/EngineFleet.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/weights/EngineFleet.java
@@ -39,10 +39,10 @@
     }
 
     boolean isUnresponsive(TargetReport engine) {
-        return unresponsive.contains(engine.id());
+        return unresponsive.contains(engine.key());
     }
 
     int openRequests(TargetReport engine) {
-        return openRequestCounts.getOrDefault(engine.id(), 0);
+        return openRequestCounts.getOrDefault(engine.key(), 0);
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/weights/LoadPlanner.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/weights/LoadPlanner.java
@@ -96,7 +96,7 @@
         List<TargetReport> engines = fleet.engines();
         List<LoadAction> actions = new ArrayList<>();
         Set<String> liveIds = new HashSet<>();
-        engines.forEach(engine -> liveIds.add(engine.id()));
+        engines.forEach(engine -> liveIds.add(engine.key()));
         mJobs.values().removeIf(job -> !liveIds.contains(job.mTarget));
         engines.forEach(engine -> finishIfLoaded(engine, actions));
         for (Job job : List.copyOf(mJobs.values())) {
@@ -180,14 +180,14 @@
      * it has loaded.
      */
     private void finishIfLoaded(TargetReport engine, List<LoadAction> actions) {
-        Job job = mJobs.get(engine.id());
+        Job job = mJobs.get(engine.key());
         if (job == null) {
             return;
         }
         long loadedVersion = engine.weights().getOrDefault(job.mModel, 0L);
         if (loadedVersion >= job.mVersion) {
-            mJobs.remove(engine.id());
-            actions.add(new LoadAction.ReturnToService(engine.id(), job.mModel, loadedVersion));
+            mJobs.remove(engine.key());
+            actions.add(new LoadAction.ReturnToService(engine.key(), job.mModel, loadedVersion));
         }
     }
 
@@ -202,12 +202,12 @@
                     engine.weights().get(model) < version
                             && !engine.leaving()
                             && !fleet.isUnresponsive(engine)
-                            && !mJobs.containsKey(engine.id())
-                            && now >= mRetryAt.getOrDefault(engine.id(), Long.MIN_VALUE);
+                            && !mJobs.containsKey(engine.key())
+                            && now >= mRetryAt.getOrDefault(engine.key(), Long.MIN_VALUE);
             if (due && loading < maxConcurrent) {
                 loading++;
-                mJobs.put(engine.id(), new Job(engine.id(), model, version, now));
-                actions.add(new LoadAction.AnnounceLoading(engine.id()));
+                mJobs.put(engine.key(), new Job(engine.key(), model, version, now));
+                actions.add(new LoadAction.AnnounceLoading(engine.key()));
             }
         }
     }
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/ForwardingSimulation.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/ForwardingSimulation.java
@@ -120,7 +120,7 @@
 
     /** Runs the simulation and returns the outcome of the request. */
     String run() {
-        log("kind " + mKind + " attempts " + mRoute.maxAttempts());
+        log("kind " + mKind + " attempts " + mRoute.maxRuns());
         perform(mForwarding.start(mNow));
         for (int i = 0; i < MAX_STEPS && mOutcome.isEmpty(); i++) {
             mNow += mRandom.nextInt(5) == 0 ? mRandom.nextInt(900) : mRandom.nextInt(30);
@@ -411,7 +411,7 @@
     private boolean mayResume() {
         return mRoute.mayRunAgain()
                 && mRoute.resumable()
-                && (mMayHaveRun.size() < mRoute.maxAttempts() || !mLeftRunning.isEmpty())
+                && (mMayHaveRun.size() < mRoute.maxRuns() || !mLeftRunning.isEmpty())
                 && mNow + MIN_RESUME_MILLIS < mRoute.timeoutMillis()
                 && mNow + MIN_RESUME_MILLIS < mInterruptedAt + mRoute.callerTimeoutMillis();
     }
@@ -484,7 +484,7 @@
     private void checkInvariants() {
         assertWithMessage("targets that run the request")
                 .that(mMayHaveRun.size())
-                .isAtMost(mRoute.maxAttempts());
+                .isAtMost(mRoute.maxRuns());
         if (!mRoute.mayRunAgain()) {
             assertWithMessage("runs").that(mRuns).isAtMost(1);
         }
--- a/quilldyke-core/src/test/java/org/quilldyke/engine/TargetRegistryTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/engine/TargetRegistryTest.java
@@ -520,7 +520,7 @@
     }
 
     private static List<String> ids(List<TargetReport> reports) {
-        return reports.stream().map(TargetReport::id).toList();
+        return reports.stream().map(TargetReport::key).toList();
     }
 
     private static TargetReport report(String id, String address, long sequence, boolean leaving) {
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/EntrySubscriber.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/EntrySubscriber.java
@@ -110,7 +110,7 @@
         for (TargetReport report : mRegistry.reports()) {
             if (!report.isRestored()) {
                 known.addTargets(
-                        TargetFrames.encode(report, now - mRegistry.lastSeenAt(report.id())));
+                        TargetFrames.encode(report, now - mRegistry.lastSeenAt(report.key())));
             }
         }
         // A control process that has lost its memory may hear a late report of who has left.
@@ -289,7 +289,7 @@
             mLog.write(
                     Event.TARGET_CHANGED,
                     "target",
-                    report.id(),
+                    report.key(),
                     "address",
                     report.address(),
                     "leaving",
@@ -302,16 +302,16 @@
                     mClock.getAsLong() - heardAt,
                     "by",
                     control);
-            TargetReport taken = mRegistry.report(report.id()).orElse(report);
+            TargetReport taken = mRegistry.report(report.key()).orElse(report);
             mEntry.loop().execute(() -> mEntry.onReport(taken));
         }
-        if (mRegistry.report(report.id()).isPresent()) {
-            long lastHeardAt = mRegistry.lastSeenAt(report.id());
+        if (mRegistry.report(report.key()).isPresent()) {
+            long lastHeardAt = mRegistry.lastSeenAt(report.key());
             mEntry.loop()
                     .execute(
                             () ->
                                     mEntry.targetSelector()
-                                            .onReportOrigin(report.id(), control, lastHeardAt));
+                                            .onReportOrigin(report.key(), control, lastHeardAt));
         }
         // What was open at an earlier incarnation may go on at the one that has just reported.
         endEarlier();
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/EntryContext.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/EntryContext.java
@@ -187,7 +187,7 @@
 
     /** Applies a report on a target. */
     public void onReport(TargetReport report) {
-        mUnreported.remove(report.id());
+        mUnreported.remove(report.key());
         mTargetSelector.onReport(report);
     }
 
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/ExchangeLog.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/ExchangeLog.java
@@ -204,7 +204,7 @@
                 "runs",
                 state.runs(),
                 "max_runs",
-                request.route().maxAttempts(),
+                request.route().maxRuns(),
                 "retries_left",
                 (long) Math.floor(state.retriesLeft()),
                 "key_age_ms",
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CacheWatch.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CacheWatch.java
@@ -74,8 +74,8 @@
         for (TargetReport target : targets) {
             Service service = mServices.get(target.service());
             if (service != null && service.engineSpec().isPresent()) {
-                wanted.add(target.id());
-                watch(target.id(), target.address());
+                wanted.add(target.key());
+                watch(target.key(), target.address());
             }
         }
         for (Service service : mServices.values()) {
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/TargetLog.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/TargetLog.java
@@ -41,7 +41,7 @@
         mLog.write(
                 wasKnown ? Event.TARGET_CHANGED : Event.TARGET_JOINED,
                 TARGET,
-                report.id(),
+                report.key(),
                 "service",
                 report.service(),
                 "address",
@@ -98,7 +98,7 @@
         mLog.write(
                 Event.TARGET_LAPSED,
                 TARGET,
-                report.id(),
+                report.key(),
                 "after",
                 afterMillis,
                 "leaving",
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/TargetSpread.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/TargetSpread.java
@@ -131,7 +131,7 @@
      */
     CompletableFuture<Boolean> onReport(TargetReport report, boolean tellsWeights)
             throws QuilldykeException {
-        Optional<TargetReport> before = mRegistry.report(report.id());
+        Optional<TargetReport> before = mRegistry.report(report.key());
         boolean holdsSome = before.map(known -> !known.weights().isEmpty()).orElse(false);
         if (holdsSome && !tellsWeights) {
             throw QuilldykeException.notRun(ResultCode.REPORT_INVALID, "models");
@@ -141,21 +141,21 @@
             throw QuilldykeException.notRun(ResultCode.REPORT_SERVICE, report.service());
         }
         long now = mClock.getAsLong();
-        mHeardHere.add(report.id());
+        mHeardHere.add(report.key());
         if (!report.leaving()) {
-            mDeliveries.forget(report.id());
+            mDeliveries.forget(report.key());
         }
         if (mRegistry.onReport(report, now)) {
-            TargetReport taken = mRegistry.report(report.id()).orElse(report);
+            TargetReport taken = mRegistry.report(report.key()).orElse(report);
             mLog.onNews(before.isPresent(), taken);
             mToSave = true;
             tell(Targets.newBuilder().addTargets(TargetFrames.encode(taken, 0)).build());
         }
-        if (report.leaving() && isTakenForLive(report.id())) {
-            mLog.onLateLeave(report.id(), mRegistry.reports());
+        if (report.leaving() && isTakenForLive(report.key())) {
+            mLog.onLateLeave(report.key(), mRegistry.reports());
         }
         noteEnded();
-        return report.leaving() ? deliverLeaving(report.id()) : Deliveries.DONE;
+        return report.leaving() ? deliverLeaving(report.key()) : Deliveries.DONE;
     }
 
     /** The reports of a target that is leaving come again and again. */
@@ -179,7 +179,7 @@
         String name = report.service();
         return mServices.map(names -> names.contains(name)).orElse(false)
                 || mRegistry
-                        .report(report.id())
+                        .report(report.key())
                         .map(known -> known.service().equals(name))
                         .orElse(false);
     }
@@ -265,7 +265,7 @@
     }
 
     private long heardAt(TargetReport report) {
-        return mRegistry.lastSeenAt(report.id());
+        return mRegistry.lastSeenAt(report.key());
     }
 
     private boolean onLeaveTold(Target target, long now) {
@@ -393,7 +393,7 @@
         Targets.Builder lapsed = Targets.newBuilder();
         for (TargetReport report : mRegistry.lapse(mLapseMillis, now)) {
             mLog.onLapsed(report, mLapseMillis);
-            lapsed.addTargets(TargetFrames.encode(report.id(), Target.Standing.LAPSED));
+            lapsed.addTargets(TargetFrames.encode(report.key(), Target.Standing.LAPSED));
             mToSave = true;
         }
         if (lapsed.getTargetsCount() > 0) {
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/WeightsKeeper.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/WeightsKeeper.java
@@ -221,7 +221,7 @@
     private Optional<String> addressOf(String target) {
         Map<String, String> addresses = new HashMap<>();
         List<TargetReport> reports = mTargets.reports();
-        reports.forEach(report -> addresses.put(report.id(), report.address()));
+        reports.forEach(report -> addresses.put(report.key(), report.address()));
         return Optional.ofNullable(addresses.get(target));
     }
 
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/instance/TargetFrames.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/instance/TargetFrames.java
@@ -36,7 +36,7 @@
     public static Target encode(TargetReport report, long ageMillis) {
         Target.Builder out =
                 Target.newBuilder()
-                        .setId(report.id())
+                        .setId(report.key())
                         .setService(report.service())
                         .setAddress(report.address())
                         .setFailureDomain(report.failureDomain())
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/RestartMemoryFuzzTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/RestartMemoryFuzzTest.java
@@ -140,10 +140,10 @@
             for (TargetReport old : stored.mTargets) {
                 TargetReport later = Content.report(old.incarnation().id(), later(old), mRandom);
                 registry.onReport(later, mRandom.nextInt(100));
-                before.onHolder(later.id());
-                after.onHolder(later.id());
-                assertThat(registry.report(old.id()).isPresent()).isFalse();
-                assertThat(registry.report(later.id()).get()).isEqualTo(later);
+                before.onHolder(later.key());
+                after.onHolder(later.key());
+                assertThat(registry.report(old.key()).isPresent()).isFalse();
+                assertThat(registry.report(later.key()).get()).isEqualTo(later);
             }
             memory.caches().forEach(before::apply);
 
@@ -219,7 +219,7 @@
                 content.mTargets.add(report);
                 content.mLeaves.add(TargetFrames.encode(Departure.upTo(report, 0), i));
                 CacheNews.Builder news =
-                        CacheNews.newBuilder().setHolder(report.id()).setUp(true).setWhole(true);
+                        CacheNews.newBuilder().setHolder(report.key()).setUp(true).setWhole(true);
                 random.longs(random.nextInt(6)).forEach(news::addAdded);
                 content.mCaches.add(news.build());
             }
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/TargetSpreadTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/TargetSpreadTest.java
@@ -262,7 +262,7 @@
         mMemory.close();
         start();
 
-        assertThat(mSpread.reports().stream().map(TargetReport::id).toList()).containsExactly("b");
+        assertThat(mSpread.reports().stream().map(TargetReport::key).toList()).containsExactly("b");
         assertThat(mMetrics.counter("news-refused.memory.QR3012").getCount()).isEqualTo(1);
     }
 
