--- a/quilldyke-core/src/main/java/org/quilldyke/engine/BlockChain.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/BlockChain.java
@@ -21,9 +21,10 @@
 /**
  * The cache keys of a prompt's full blocks; each key covers the whole prefix up to the block's end.
  *
- * <p>Key {@code i} is XXH3 over key {@code i - 1} and the bytes of block {@code i}; the chain
- * starts at {@link CacheScope#seed}. A key therefore identifies the scope, the position and all
- * content before it. The last, partial block has no key, since engines cache whole blocks only.
+ * <p>Key {@code i} is XXH3 over key {@code i - 1} and the bytes of block {@code i}; for the first
+ * block, {@link CacheScope#seed} replaces the previous key. A key therefore identifies the scope,
+ * the position and all content before it. The last, partial block has no key, since engines cache
+ * whole blocks only.
  */
 public final class BlockChain {
     /** Units in a block; a unit is one byte of the prompt's UTF-8 form. */
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/CacheEvent.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/CacheEvent.java
@@ -25,7 +25,7 @@
  * @param keys the keys of the changed blocks, empty for {@link Kind#CLEARED}
  */
 public record CacheEvent(long sequence, Kind kind, LongList keys) {
-    /** The change of the blocks. */
+    /** The types of changes to a cache. */
     public enum Kind {
         STORED,
         REMOVED,
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/Departure.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/Departure.java
@@ -16,11 +16,12 @@
 package org.quilldyke.engine;
 
 /**
- * The departure of a target, kept as a tombstone so that late reports don't restore the target.
+ * The departure of a target, kept as a tombstone so that late reports do not restore the target.
  *
  * @param target the key of its incarnation
  * @param lastSequence the sequence up to which its reports are obsolete
- * @param recordedAt when it was reported, in milliseconds of this instance's monotonic clock
+ * @param recordedAt when an instance first recorded it, in milliseconds of this instance's
+ *     monotonic clock
  */
 public record Departure(String target, long lastSequence, long recordedAt) {
     /** The last sequence of a permanent departure: all reports of the target are obsolete. */
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/LatestIncarnations.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/LatestIncarnations.java
@@ -21,10 +21,12 @@
 
 /**
  * The latest known incarnation of each target id. Messages about earlier incarnations are obsolete,
- * even if the latest one is unresponsive or has left.
+ * even if the latest one is unresponsive or has departed.
  */
 public final class LatestIncarnations {
-    /** Many times the number of targets of a site; the least recently used ids are evicted. */
+    /**
+     * Many times the number of targets of a deployment; the least recently used ids are evicted.
+     */
     static final int MAX_IDS = 4096;
 
     private static final float LOAD_FACTOR = 0.75f;
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/LeaveOutcome.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/LeaveOutcome.java
@@ -22,7 +22,7 @@
  *
  * @param target the target to which it was applied: an incarnation's key, or the plain id
  * @param result the effect of the notice
- * @param suspension the suspension that it causes if its sender is uncertain
+ * @param suspension the suspension that it causes if its sender's incarnation is uncertain
  * @param needsPropagation whether it has to be sent to other processes
  */
 public record LeaveOutcome(
@@ -36,12 +36,13 @@
     public enum Result {
         /** The target was known, and is removed permanently. */
         ENDED,
-        /** The sender is uncertain: the target gets no new requests for a while. */
+        /** The sender's incarnation is uncertain: the target gets no new requests for a while. */
         SUSPENDED,
-        /** The target was not known. */
+        /** The target was not known; its late reports are ignored. */
         UNKNOWN,
         /**
-         * No incarnation of the id was ever known: any that has it gets no requests for a while.
+         * No incarnation of the id is known. If one becomes known soon, it gets no new requests for
+         * a while.
          */
         UNPLACED,
         /** The target was already known to have left. */
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/LoadReport.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/LoadReport.java
@@ -18,7 +18,7 @@
 /**
  * An engine's report of its own load, which arrives with a delay.
  *
- * @param incarnation the number of the incarnation that reports
+ * @param incarnation the {@link TargetRecord#incarnation()} of the engine that reports
  * @param running the number of requests in the batch
  * @param waiting the number of requests in the queue
  * @param queuedUnits prompt units of running and waiting requests that remain to be prefilled
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/ReportRules.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/ReportRules.java
@@ -33,8 +33,8 @@
     static final int MAX_MODELS = 256;
 
     /**
-     * The largest integer up to which every JSON reader is exact. A counter above it could leave no
-     * room for a higher one.
+     * All JSON readers represent integers up to this one exactly. A sequence or version close to
+     * {@link Long#MAX_VALUE} would leave no higher values for later reports.
      */
     static final long MAX_SAFE_INTEGER = 1L << 53;
 
@@ -109,7 +109,10 @@
         return !text.isEmpty() && isText(text);
     }
 
-    /** Rejects unpaired surrogates, too: they do not survive being encoded and decoded. */
+    /**
+     * Returns whether a text is short enough and has no control characters, nor unpaired
+     * surrogates, which are lost in UTF-8.
+     */
     private static boolean isText(String text) {
         return text.length() <= MAX_TEXT_LENGTH
                 && text.codePoints()
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/Suspension.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/Suspension.java
@@ -21,13 +21,16 @@
  * incarnation gets no new requests.
  *
  * @param target the key of the incarnation, or the plain id if no incarnation is known
- * @param leaveReceivedAt when the notice was received, in milliseconds of this instance's monotonic
- *     clock
- * @param coversSuccessor whether the notice may also be the next incarnation's: its reports may
- *     arrive after the notice, and the known incarnation was unresponsive when the notice arrived
+ * @param leaveReceivedAt when an instance first received the notice, in milliseconds of this
+ *     instance's monotonic clock
+ * @param coversSuccessor whether the notice may also come from the next incarnation, whose reports
+ *     may arrive later: no incarnation was known, or the known one was unresponsive
  */
 public record Suspension(String target, long leaveReceivedAt, boolean coversSuccessor) {
-    /** Messages are late by seconds; a target seen this long after a leave notice is alive. */
+    /**
+     * Messages are delayed by a few seconds at most; a target that is seen more than this after a
+     * leave notice has not left.
+     */
     static final long MAX_MESSAGE_DELAY_MILLIS = 10_000;
 
     /** Targets report about once a second; one whose last report is as recent as this is alive. */
@@ -48,7 +51,8 @@
      * Returns the suspension of a known incarnation by a leave notice of its id.
      *
      * @param target the key of the latest known incarnation
-     * @param latestReportAt when its latest report was made
+     * @param latestReportAt when its latest report was received, on the same clock as the leave
+     *     notice
      */
     static Suspension forIncarnation(String target, long latestReportAt, long leaveReceivedAt) {
         return new Suspension(
@@ -67,12 +71,15 @@
         return Incarnation.ofKey(target);
     }
 
-    /** Returns whether a report seen at {@code seenAt} may have been made before the leave. */
+    /** Returns whether a report seen at {@code seenAt} may have been made before the notice. */
     boolean mayPredateLeave(long seenAt) {
         return seenAt <= leaveReceivedAt + MAX_MESSAGE_DELAY_MILLIS;
     }
 
-    /** Returns whether this changes what a known suspension of the same id says. */
+    /**
+     * Returns whether this differs from a known suspension of the same id: it is that of a later
+     * incarnation, covers the successor as well, or results from another notice.
+     */
     boolean addsInformationTo(Suspension known) {
         boolean isLaterIncarnation =
                 incarnation().startedAtMillis() > known.incarnation().startedAtMillis();
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/Suspensions.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/Suspensions.java
@@ -39,9 +39,9 @@
     }
 
     /**
-     * Returns whether an incarnation that is seen at a time is still suspended. The suspension
-     * moves to a later incarnation that was seen before the leave notice, or if it covers the
-     * successor.
+     * Returns whether an incarnation that was seen at {@code seenAt} is suspended. A suspension
+     * moves to a later incarnation if that one was seen before the leave notice, or if the
+     * suspension covers the successor.
      */
     boolean isSuspended(Incarnation incarnation, long seenAt) {
         Suspension known = mById.get(incarnation.id());
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/TargetRecord.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/TargetRecord.java
@@ -20,7 +20,7 @@
  *
  * @param id the target's name, unique in its cell
  * @param kind engine or plain service
- * @param cell the cell that it belongs to
+ * @param cell the cell that it belongs to: the group of instances that share its record
  * @param service the service that it belongs to
  * @param address IP address and port of its HTTP server
  * @param failureDomain its failure domain
@@ -30,7 +30,7 @@
  * @param weights the weight version that it has loaded, empty for a plain service
  * @param slots the number of requests that it runs concurrently
  * @param prefillUnitsPerMilli prompt units prefilled in a millisecond, 0 for a plain service
- * @param checksFencing whether it rejects orders with an outdated fencing number
+ * @param checksFencing whether it rejects orders to load weights with an outdated fencing number
  * @param leaving whether it accepts no new requests
  */
 public record TargetRecord(
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/TargetRegistry.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/TargetRegistry.java
@@ -32,6 +32,8 @@
  * <p>Targets are identified by the key of their incarnation. A later incarnation supersedes the
  * earlier ones of its id at once, whatever their addresses and however recently they were seen;
  * messages about those are ignored from then on.
+ *
+ * <p>All times are in milliseconds of this process's monotonic clock.
  */
 public final class TargetRegistry {
     /** Earlier than any time of a monotonic clock; differences to it don't overflow. */
@@ -68,7 +70,7 @@
     /**
      * Processes a report.
      *
-     * @param seenAt when it was received from the target, as far as known
+     * @param seenAt when this or another process received it from the target, as far as known
      * @return whether it changes anything other than the time at which the target was last seen
      */
     public boolean onReport(TargetReport received, long seenAt) {
@@ -87,8 +89,8 @@
         }
         if (mAuthoritative && isFromDisplacedTarget(report.key(), seenAt)) {
             if (report.leaving() && mDepartures.add(Departure.upTo(report, seenAt))) {
-                // It asks for no more requests, whichever target has the address now and even if it
-                // still answers.
+                // The sender must get no more requests, even if it still answers and whichever
+                // target has the address.
                 mInferredDepartures.add(report.key());
             }
             return false;
@@ -107,22 +109,22 @@
     }
 
     /**
-     * Returns whether another target has taken over the sender's address: a report may be delayed
-     * until long after its sender has ended. A sender that reports twice while the holder of the
-     * address does not report is alive, however.
+     * Returns whether another target has taken over the sender's address, so that the report may be
+     * a late one of a target that no longer runs. A sender that reports twice while the holder of
+     * the address is not seen still runs, however.
      */
-    private boolean isFromDisplacedTarget(String id, long seenAt) {
-        Displaced displaced = mDisplaced.get(id);
+    private boolean isFromDisplacedTarget(String key, long seenAt) {
+        Displaced displaced = mDisplaced.get(key);
         if (displaced == null) {
             return false;
         }
-        Entry holder = mEntries.get(displaced.mHolderId);
+        Entry holder = mEntries.get(displaced.mHolderKey);
         boolean holderIsAlive = holder != null && holder.mLastSeenAt >= displaced.mLastReportAt;
         if (holderIsAlive) {
             displaced.mLastReportAt = seenAt;
             return true;
         }
-        mDisplaced.remove(id);
+        mDisplaced.remove(key);
         return false;
     }
 
@@ -143,8 +145,8 @@
     }
 
     /**
-     * Returns the incarnations that were superseded since the last call; requests that are open
-     * there have failed.
+     * Returns the incarnations that were superseded since the last call. They must get no new
+     * requests, and requests that they have not begun to answer have failed.
      */
     public List<String> takeSuperseded() {
         List<String> superseded = List.copyOf(mNewlySuperseded);
@@ -153,8 +155,8 @@
     }
 
     /**
-     * Returns the known targets whose address another target has taken over since the last call;
-     * they are sent no more requests.
+     * Returns the known targets whose address another target has taken over since the last call.
+     * The report of the other target may be a late one, so a displaced target may still run.
      */
     public List<String> takeDisplaced() {
         List<String> displaced = List.copyOf(mNewlyDisplaced);
@@ -168,8 +170,11 @@
      *
      * <p>If that incarnation has just superseded another, the notice may be a late one of the
      * predecessor; if it is unresponsive, the notice may be that of a successor whose reports are
-     * late. A removed target never returns, and a target that leaves must get no new requests, so
-     * an incarnation that may or may not have left is suspended, not removed or kept as it is.
+     * late. An incarnation that may or may not have left is suspended: removing it would be
+     * permanent, and keeping it would send new requests to a target that may be shutting down.
+     *
+     * @param reportedKey the key of the sender's incarnation; the plain id if the notice has no
+     *     start time
      */
     public LeaveOutcome onLeave(String reportedKey, long now) {
         return Incarnation.ofKey(reportedKey).hasStart()
@@ -218,8 +223,9 @@
     }
 
     /**
-     * Returns whether a leave notice may be that of a target's predecessor: the target has just
-     * superseded it, here or at another process that has received the same notice.
+     * Returns whether a leave notice may be that of a target's predecessor: the target superseded
+     * one recently, or it is suspended: another process that received the same notice may have seen
+     * it supersede one.
      */
     private boolean mayBeFromPredecessor(Entry known, long now) {
         boolean isRecentSuccessor =
@@ -280,16 +286,16 @@
     }
 
     /** Records that a target was alive at {@code seenAt}. */
-    public void onAlive(String id, long seenAt) {
-        Entry known = mEntries.get(id);
+    public void onAlive(String key, long seenAt) {
+        Entry known = mEntries.get(key);
         if (known != null) {
             known.mLastSeenAt = Math.max(known.mLastSeenAt, seenAt);
         }
     }
 
     /** Records weights that a target is known to have loaded before it reports them. */
-    public void onWeights(String id, String model, long version) {
-        Entry known = mEntries.get(id);
+    public void onWeights(String key, String model, long version) {
+        Entry known = mEntries.get(key);
         if (known != null && version > known.mReport.weights().getOrDefault(model, 0L)) {
             Map<String, Long> weights = new HashMap<>(known.mReport.weights());
             weights.put(model, version);
@@ -298,8 +304,8 @@
     }
 
     /** Records that a target has departed permanently; returns whether this was unknown. */
-    public boolean onPermanentDeparture(String id, long now) {
-        return onDeparture(Departure.permanent(id, now));
+    public boolean onPermanentDeparture(String key, long now) {
+        return onDeparture(Departure.permanent(key, now));
     }
 
     /** Records that a target has departed; returns whether this was unknown. */
@@ -314,8 +320,8 @@
     }
 
     /** Removes a target that has lapsed at another process; returns whether it was known. */
-    public boolean onLapsed(String id) {
-        return mEntries.remove(id) != null;
+    public boolean onLapsed(String key) {
+        return mEntries.remove(key) != null;
     }
 
     /**
@@ -350,16 +356,16 @@
         mSuspensions.expire(now);
     }
 
-    /** Removes restored targets that have not reported since; returns their ids. */
+    /** Removes restored targets that have not reported since; returns their keys. */
     public List<String> removeRestored() {
-        List<String> ids =
+        List<String> keys =
                 mEntries.values().stream()
                         .map(entry -> entry.mReport)
                         .filter(TargetReport::isRestored)
                         .map(TargetReport::key)
                         .toList();
-        ids.forEach(mEntries::remove);
-        return ids;
+        keys.forEach(mEntries::remove);
+        return keys;
     }
 
     /**
@@ -379,13 +385,13 @@
     }
 
     /** Returns the latest report of a target. */
-    public Optional<TargetReport> report(String id) {
-        return Optional.ofNullable(mEntries.get(id)).map(entry -> entry.mReport);
+    public Optional<TargetReport> report(String key) {
+        return Optional.ofNullable(mEntries.get(key)).map(entry -> entry.mReport);
     }
 
     /** Returns when a target was last seen, {@link #NEVER} if it is not known. */
-    public long lastSeenAt(String id) {
-        Entry entry = mEntries.get(id);
+    public long lastSeenAt(String key) {
+        Entry entry = mEntries.get(key);
         return entry == null ? NEVER : entry.mLastSeenAt;
     }
 
@@ -410,7 +416,9 @@
      */
     public List<Departure> takeInferredDepartures() {
         List<Departure> departures =
-                mInferredDepartures.stream().flatMap(id -> mDepartures.find(id).stream()).toList();
+                mInferredDepartures.stream()
+                        .flatMap(key -> mDepartures.find(key).stream())
+                        .toList();
         mInferredDepartures.clear();
         return departures;
     }
@@ -420,12 +428,12 @@
 
     /** A target whose address another target has taken over. */
     private static final class Displaced {
-        final String mHolderId;
+        final String mHolderKey;
         final long mDisplacedAt;
         long mLastReportAt = Long.MIN_VALUE;
 
-        Displaced(String holderId, long displacedAt) {
-            mHolderId = holderId;
+        Displaced(String holderKey, long displacedAt) {
+            mHolderKey = holderKey;
             mDisplacedAt = displacedAt;
         }
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/engine/TargetReport.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/engine/TargetReport.java
@@ -55,7 +55,10 @@
         return Incarnation.ofKey(key);
     }
 
-    /** Returns whether another report has the same content, regardless of its sequence. */
+    /**
+     * Returns whether another report is equal except for the failure domain, the software version,
+     * the remaining cold time and the sequence.
+     */
     public boolean isEquivalentTo(TargetReport other) {
         return key.equals(other.key)
                 && service.equals(other.service)
--- a/quilldyke-core/src/main/java/org/quilldyke/instance/ControlLinkPlanner.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/instance/ControlLinkPlanner.java
@@ -24,12 +24,14 @@
 import java.util.Optional;
 
 /**
- * Chooses the control processes to which an entry keeps streams.
+ * Chooses the control processes to which an entry, a process that accepts callers' requests, keeps
+ * streams (links).
  *
- * <p>A control process without a leader still answers, but confirms nothing; one whose machine has
- * failed does not even refuse connections. So only confirmations show that a stream works. Without
- * any, streams to more processes are opened at the same time, up to two more than the tolerated
- * losses, to the least recently tried first: no address is retried before all others were tried.
+ * <p>A link works only if the control process confirms that its state is current: one without a
+ * leader still answers but confirms nothing, and one whose machine has failed does not even refuse
+ * connections. While no process confirms, the planner opens more links at a time, up to two more
+ * than the tolerated losses. It tries the least recently tried address first, so that no address is
+ * retried before all others were tried.
  */
 public final class ControlLinkPlanner {
     /** One more than needed, so that the loss of one has no effect. */
@@ -47,7 +49,10 @@
     /** An address whose stream was not confirmed is tried after others for this long. */
     static final long FAILURE_BACKOFF_MILLIS = 5000;
 
-    /** An address that control processes have not listed for this long is out of their reach. */
+    /**
+     * An address that was last listed this long before the latest list is treated as unreachable
+     * for the control processes.
+     */
     static final long UNLISTED_MILLIS = 2000;
 
     /** How long an address is kept that is neither a seed nor listed by a control process. */
@@ -109,7 +114,7 @@
     /**
      * Records that a control process has confirmed that its state is current.
      *
-     * @param askedAt when the confirmed question was sent
+     * @param askedAt when the request for this confirmation was sent
      */
     public void onConfirmed(String address, long askedAt) {
         mConfirmedAt = Math.max(mConfirmedAt, askedAt);
@@ -125,7 +130,7 @@
         return state != null && mFailureDomain.equals(state.mDomain);
     }
 
-    /** Returns the time since the latest confirmed question was sent to any control process. */
+    /** Returns the time since the latest confirmed request for confirmation was sent. */
     public long unconfirmedMillis(long now) {
         return now - mConfirmedAt;
     }
@@ -195,15 +200,21 @@
         return surplus;
     }
 
+    /**
+     * Returns the number of links to keep. If the normal links are confirmed but none is in the own
+     * failure domain, one more is opened to a process that may be there; confirmed links beyond the
+     * normal number are closed later.
+     */
     private int wantedLinks(long now) {
         long searchMillis = unconfirmedMillis(now) - CONFIRMATION_MAX_AGE_MILLIS;
         if (searchMillis >= 0) {
             return (int) Math.min(mMaxLinks, NORMAL_LINKS + 1 + searchMillis / SEARCH_STEP_MILLIS);
         }
         long confirmed = mLinks.values().stream().filter(link -> link.isConfirmed(now)).count();
-        boolean settled = confirmed == NORMAL_LINKS && mLinks.size() == NORMAL_LINKS;
+        boolean onlyNormalLinksConfirmed =
+                confirmed == NORMAL_LINKS && mLinks.size() == NORMAL_LINKS;
         boolean hasOwnDomainLink = mLinks.keySet().stream().anyMatch(this::isInOwnDomain);
-        return settled
+        return onlyNormalLinksConfirmed
                         && !hasOwnDomainLink
                         && mAddresses.keySet().stream()
                                 .anyMatch(address -> mayBeInOwnDomain(address, now))
--- a/quilldyke-core/src/main/java/org/quilldyke/instance/InstanceTable.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/instance/InstanceTable.java
@@ -21,7 +21,8 @@
 import java.util.TreeMap;
 
 /**
- * The other instances of the cell, by their heartbeats.
+ * The other instances of the cell, with their latest heartbeats. A cell is a group of instances
+ * that share targets and configuration.
  *
  * <p>An instance without a heartbeat for the suspicion time is suspected to have failed. The number
  * of alive instances and the age of their latest contact with a control leader distinguish an
@@ -50,6 +51,7 @@
      * @param others the ids of the other instances in the settings
      * @param suspicionMillis the time without a heartbeat after which an instance is suspected
      * @param leaderLeaseMillis the age above which a contact with a leader has expired
+     * @param now the current time in monotonic milliseconds, as in all other calls
      */
     public static InstanceTable create(
             List<String> others, long suspicionMillis, long leaderLeaseMillis, long now) {
@@ -75,10 +77,10 @@
         return previous == null || previous.state().incarnation() != state.incarnation();
     }
 
-    /** Records a direct contact with the leader, at a replica that follows it or is it. */
-    public void onLeader(String leader, long now) {
+    /** Records that the replica in this instance led, or had contact with the leader. */
+    public void onLeader(String leader, long seenAt) {
         mLeader = leader;
-        mLeaderSeenAt = now;
+        mLeaderSeenAt = seenAt;
     }
 
     /** Returns the age of the latest contact with a leader, {@link Long#MAX_VALUE} for none. */
@@ -91,7 +93,7 @@
         return mLeader;
     }
 
-    /** Returns the instances that are not suspected at {@code now}. */
+    /** Returns the other instances that are not suspected at {@code now}. */
     public List<InstanceState> alive(long now) {
         List<InstanceState> alive = new ArrayList<>();
         for (ReceivedHeartbeat heartbeat : mLastHeartbeats.values()) {
@@ -110,8 +112,8 @@
         if (now - mStartedAt <= mLeaderLeaseMillis) {
             return Status.STARTING;
         }
-        boolean majority = (alive(now).size() + 1) * 2 > mOthers.size() + 1;
-        return majority ? Status.CONTROL_DOWN : Status.CUT_OFF;
+        boolean majorityIsAlive = (alive(now).size() + 1) * 2 > mOthers.size() + 1;
+        return majorityIsAlive ? Status.CONTROL_DOWN : Status.CUT_OFF;
     }
 
     /** The connection of an instance to the rest of its cell. */
--- a/quilldyke-core/src/main/java/org/quilldyke/instance/TargetTable.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/instance/TargetTable.java
@@ -47,7 +47,7 @@
      * Processes a record from the target itself or from another instance.
      *
      * @param record the target's record
-     * @param expiresAt end of its lease on this instance's clock
+     * @param expiresAt end of its lease, in milliseconds of this instance's clock
      * @return the effect on the table
      */
     public Change accept(TargetRecord record, long expiresAt) {
--- a/quilldyke-core/src/main/java/org/quilldyke/manifest/FleetCommand.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/manifest/FleetCommand.java
@@ -28,6 +28,11 @@
     /** Sets the version of a model's weights that all engines should load. */
     record NameWeights(String model, long version) implements FleetCommand {}
 
-    /** Allocates a fencing number for orders to engines, higher than all previous ones. */
+    /**
+     * Allocates a fencing number for orders to engines to load weights, higher than all previous
+     * ones.
+     *
+     * @param holder the id of the control process that will send the orders
+     */
     record TakeFence(String holder) implements FleetCommand {}
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/manifest/Route.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/manifest/Route.java
@@ -18,13 +18,14 @@
 import java.util.List;
 
 /**
- * The services for a set of requests, and their service levels.
+ * Selects requests by host and path, and defines which services run them, with which time limits,
+ * objectives and retry rules.
  *
  * @param name the route's name
  * @param host the host of the requests, in lower case
  * @param pathPrefix the prefix of their paths; starts and ends with a slash
  * @param kind the retry semantics of the requests
- * @param timeoutMillis the maximum time until a request is answered
+ * @param timeoutMillis the maximum time from a request's arrival until its response is complete
  * @param latencyObjectiveMillis the objective for the time to a response or its first event
  * @param eventGapMillis the objective for the time between two events of a stream
  * @param priority the priority; 0 is the highest
--- a/quilldyke-core/src/test/java/org/quilldyke/engine/BlockChainTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/engine/BlockChainTest.java
@@ -43,6 +43,7 @@
             new CacheScope("abstract-co", "lm2", "w1", ""),
             new CacheScope("abstract-co", "lm", "w2", ""),
             new CacheScope("abstract-co", "lm", "w1", "plats"),
+            // The same concatenation as SCOPE.
             new CacheScope("abstract-col", "m", "w1", "")
         };
         for (CacheScope other : others) {
@@ -61,8 +62,8 @@
         BlockChain second = BlockChain.of(SCOPE, b);
 
         for (int i = 0; i < 5; i++) {
-            boolean before = (i + 1) * BlockChain.BLOCK_UNITS <= difference;
-            assertThat(first.key(i) == second.key(i)).isEqualTo(before);
+            boolean endsBeforeDifference = (i + 1) * BlockChain.BLOCK_UNITS <= difference;
+            assertThat(first.key(i) == second.key(i)).isEqualTo(endsBeforeDifference);
         }
     }
 }
--- a/quilldyke-core/src/test/java/org/quilldyke/engine/IncarnationTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/engine/IncarnationTest.java
@@ -41,14 +41,14 @@
 
     @Test
     void answerOfOtherIncarnationDoesNotMatch() {
-        Incarnation present = new Incarnation("i-1", 7);
-
-        assertThat(present.mayMatch(7)).isTrue();
-        assertThat(present.mayMatch(5)).isFalse();
-        assertThat(present.mayMatch(9)).isFalse();
-        assertThat(present.isSupersededBy(5)).isFalse();
-        assertThat(present.isSupersededBy(7)).isFalse();
-        assertThat(present.isSupersededBy(9)).isTrue();
+        Incarnation current = new Incarnation("i-1", 7);
+
+        assertThat(current.mayMatch(7)).isTrue();
+        assertThat(current.mayMatch(5)).isFalse();
+        assertThat(current.mayMatch(9)).isFalse();
+        assertThat(current.isSupersededBy(5)).isFalse();
+        assertThat(current.isSupersededBy(7)).isFalse();
+        assertThat(current.isSupersededBy(9)).isTrue();
     }
 
     @Test
--- a/quilldyke-core/src/test/java/org/quilldyke/engine/ReportRulesTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/engine/ReportRulesTest.java
@@ -104,11 +104,20 @@
             String service,
             String address,
             int slots,
-            long cold,
-            long version,
+            long coldRemainingMillis,
+            long weightVersion,
             long sequence) {
-        Map<String, Long> weights = Map.of("m", version);
+        Map<String, Long> weights = Map.of("m", weightVersion);
         return new TargetReport(
-                id, service, address, "z", "v", slots, false, cold, weights, sequence);
+                id,
+                service,
+                address,
+                "z",
+                "v",
+                slots,
+                false,
+                coldRemainingMillis,
+                weights,
+                sequence);
     }
 }
--- a/quilldyke-core/src/test/java/org/quilldyke/engine/TargetRegistryTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/engine/TargetRegistryTest.java
@@ -56,8 +56,9 @@
 
     /**
      * Guards against tombstones that never expire, so that the tables of all instances grow with
-     * each target that is replaced. Processes resend their departures every 5 s, and each resend
-     * was recorded as the time of the departure, so that two processes renewed it for each other.
+     * each target that is replaced. Processes resend their departures every 5 s. The time of each
+     * resend was recorded as that of the departure, so that two processes extended it for each
+     * other.
      */
     @Test
     void repeatedDepartureDoesNotExtendRetention() {
@@ -78,7 +79,7 @@
         mRegistry.onReport(report("b", "1:2", 1, false), 0);
         mRegistry.onAlive("b", 900);
 
-        assertThat(ids(mRegistry.lapse(500, 1000))).containsExactly("a");
+        assertThat(keys(mRegistry.lapse(500, 1000))).containsExactly("a");
         assertThat(mRegistry.onReport(report("a", "1:1", 2, false), 1100)).isTrue();
     }
 
@@ -88,23 +89,26 @@
 
         mRegistry.onReport(report("b", "1:1", 1, false), 10);
 
-        assertThat(ids(mRegistry.reports())).containsExactly("b");
+        assertThat(keys(mRegistry.reports())).containsExactly("b");
         assertThat(mRegistry.takeDisplaced()).containsExactly("a");
         assertThat(mRegistry.takeDisplaced()).isEmpty();
     }
 
-    /** A report is delayed by a network failure until its sender has crashed and restarted. */
+    /**
+     * A report is delayed by a network failure until its sender has crashed and restarted at the
+     * same address with another id.
+     */
     @Test
     void lateReportOfDisplacedTargetIsIgnored() {
         mRegistry.onReport(report("a", "1:1", 50, false), 0);
         mRegistry.onReport(report("b", "1:1", 1, false), 10);
 
         assertThat(mRegistry.onReport(report("a", "1:1", 51, false), 20)).isFalse();
-        assertThat(ids(mRegistry.reports())).containsExactly("b");
+        assertThat(keys(mRegistry.reports())).containsExactly("b");
 
         mRegistry.onAlive("b", 1200);
         assertThat(mRegistry.onReport(report("a", "1:1", 52, false), 1300)).isFalse();
-        assertThat(ids(mRegistry.reports())).containsExactly("b");
+        assertThat(keys(mRegistry.reports())).containsExactly("b");
     }
 
     @Test
@@ -114,7 +118,7 @@
         mRegistry.onReport(report("b", "1:1", 1, false), 1100);
 
         assertThat(mRegistry.onReport(report("a", "1:1", 51, false), 1200)).isFalse();
-        assertThat(ids(mRegistry.reports())).containsExactly("b");
+        assertThat(keys(mRegistry.reports())).containsExactly("b");
     }
 
     /**
@@ -125,11 +129,11 @@
     void displacedTargetReturnsWhileAddressHolderDoesNotReport() {
         mRegistry.onReport(report("b", "1:1", 7, false), 0);
         mRegistry.onReport(report("a", "1:1", 50, false), 10);
-        assertThat(ids(mRegistry.reports())).containsExactly("a");
+        assertThat(keys(mRegistry.reports())).containsExactly("a");
 
         assertThat(mRegistry.onReport(report("b", "1:1", 8, false), 1200)).isFalse();
         assertThat(mRegistry.onReport(report("b", "1:1", 9, false), 2400)).isTrue();
-        assertThat(ids(mRegistry.reports())).containsExactly("b");
+        assertThat(keys(mRegistry.reports())).containsExactly("b");
     }
 
     /** An entry receives only reports that the control processes have already accepted. */
@@ -140,7 +144,7 @@
         follower.onReport(report("a", "1:1", 50, false), 10);
 
         assertThat(follower.onReport(report("b", "1:1", 8, false), 20)).isTrue();
-        assertThat(ids(follower.reports())).containsExactly("b");
+        assertThat(keys(follower.reports())).containsExactly("b");
     }
 
     @Test
@@ -160,7 +164,7 @@
 
         assertThat(mRegistry.onReport(report("a#7", "1:2", 1, false), 100)).isTrue();
 
-        assertThat(ids(mRegistry.reports())).containsExactly("a#7");
+        assertThat(keys(mRegistry.reports())).containsExactly("a#7");
         assertThat(mRegistry.takeSuperseded()).containsExactly("a#5");
         assertThat(mRegistry.takeSuperseded()).isEmpty();
     }
@@ -177,7 +181,7 @@
         mRegistry.onLapsed("a#5");
         mRegistry.onPermanentDeparture("a#5", 500);
 
-        assertThat(ids(mRegistry.reports())).containsExactly("a#7");
+        assertThat(keys(mRegistry.reports())).containsExactly("a#7");
         assertThat(mRegistry.lastSeenAt("a#7")).isEqualTo(100);
         assertThat(mRegistry.report("a#7").get().weights()).doesNotContainEntry("m", 9L);
         assertThat(mRegistry.takeSuperseded()).isEmpty();
@@ -215,7 +219,7 @@
 
         mRegistry.onReport(report("a#7", "1:1", 1, false), 10);
 
-        assertThat(ids(mRegistry.reports())).containsExactly("a#7");
+        assertThat(keys(mRegistry.reports())).containsExactly("a#7");
         assertThat(mRegistry.takeSuperseded()).containsExactly("a#5");
     }
 
@@ -238,7 +242,7 @@
     void leaveWithoutStartAppliesToLatestKnownIncarnation() {
         mRegistry.onReport(report("a#5", "1:1", 50, false), 0);
         assertThat(mRegistry.onLeave("a#4", 0).target()).isEqualTo("a#4");
-        assertThat(ids(mRegistry.reports())).containsExactly("a#5");
+        assertThat(keys(mRegistry.reports())).containsExactly("a#5");
 
         LeaveOutcome outcome = mRegistry.onLeave("a", 10);
 
@@ -248,7 +252,7 @@
         assertThat(mRegistry.onReport(report("a#7", "1:1", 1, false), 20)).isTrue();
         mRegistry.onPermanentDeparture("a", 30);
 
-        assertThat(ids(mRegistry.reports())).containsExactly("a#7");
+        assertThat(keys(mRegistry.reports())).containsExactly("a#7");
         assertThat(mRegistry.reports().get(0).leaving()).isFalse();
     }
 
@@ -271,7 +275,7 @@
         mRegistry.onReport(report("a#7", "1:1", 5, false), 900);
         mRegistry.onReport(report("a#7", "1:1", 6, false), 1100);
 
-        assertThat(ids(mRegistry.reports())).containsExactly("a#7");
+        assertThat(keys(mRegistry.reports())).containsExactly("a#7");
         assertThat(mRegistry.reports().get(0).leaving()).isTrue();
         mRegistry.onReport(report("a#9", "1:1", 1, false), 5000);
         assertThat(mRegistry.reports().get(0).leaving()).isFalse();
@@ -298,7 +302,7 @@
         LeaveOutcome outcome = mRegistry.onLeave("a", leaveAt);
 
         assertOutcome(outcome, "a#7", LeaveOutcome.Result.SUSPENDED, true);
-        assertThat(ids(mRegistry.reports())).containsExactly("a#7");
+        assertThat(keys(mRegistry.reports())).containsExactly("a#7");
         long afterSuspension = leaveAt + Suspension.MAX_MESSAGE_DELAY_MILLIS + 1;
         assertThat(mRegistry.onReport(report("a#7", "1:1", 9, false), afterSuspension)).isTrue();
         assertThat(mRegistry.reports().get(0).leaving()).isFalse();
@@ -309,11 +313,11 @@
     }
 
     /**
-     * Guards against ignoring the leave notice of a target that has recently restarted: requests
-     * ran there for longer than the drain time after its notice was acknowledged, until it lapsed.
-     * The target restarts under its id, and within 10 s sends a notice without a start time, stops
-     * reporting and continues to serve. The notice was attributed to the predecessor, which had
-     * already ended. See LeavingTargetTest.
+     * Guards against ignoring the leave notice of a target that has recently restarted: after the
+     * notice was acknowledged, requests ran there for longer than the drain time, until the target
+     * lapsed. The target restarts under its id, and within 10 s sends a notice without a start
+     * time, stops reporting and continues to serve. The notice was attributed to the predecessor,
+     * which no longer ran. See LeavingTargetTest.
      */
     @Test
     void ambiguousLeaveSuspendsTarget() {
@@ -366,7 +370,7 @@
 
         mRegistry.onReport(report("a#9", "1:1", 1, false), 3000);
 
-        assertThat(ids(mRegistry.reports())).containsExactly("a#9");
+        assertThat(keys(mRegistry.reports())).containsExactly("a#9");
         assertThat(mRegistry.reports().get(0).leaving()).isFalse();
     }
 
@@ -393,7 +397,7 @@
     @Test
     void lateReportDoesNotRestoreLapsedLeavingTarget() {
         mRegistry.onReport(report("a", "1:1", 11, true), 0);
-        assertThat(ids(mRegistry.lapse(500, 1000))).containsExactly("a");
+        assertThat(keys(mRegistry.lapse(500, 1000))).containsExactly("a");
 
         assertThat(mRegistry.onReport(report("a", "1:1", 10, false), 1100)).isFalse();
         assertThat(mRegistry.onReport(report("a", "1:1", 11, true), 1100)).isFalse();
@@ -417,7 +421,7 @@
 
         assertThat(mRegistry.takeInferredDepartures()).containsExactly(new Departure("a", 51, 20));
         assertThat(mRegistry.takeInferredDepartures()).isEmpty();
-        assertThat(ids(mRegistry.reports())).containsExactly("b");
+        assertThat(keys(mRegistry.reports())).containsExactly("b");
     }
 
     /** The target was unreachable for a while, or has cancelled its shutdown. */
@@ -438,7 +442,7 @@
 
         mRegistry.onDeparture(new Departure("a", 11, 10));
 
-        assertThat(ids(mRegistry.reports())).containsExactly("a");
+        assertThat(keys(mRegistry.reports())).containsExactly("a");
         assertThat(mRegistry.onDeparture(Departure.permanent("a", 20))).isTrue();
         assertThat(mRegistry.reports()).isEmpty();
     }
@@ -455,16 +459,16 @@
     }
 
     /**
-     * Guards against attributing a leave notice to the predecessor only: in two runs of
-     * LeaveSoakTest with seed 45, 27 and 22 requests reached a target more than the drain time
+     * Guards against attributing a leave notice to the predecessor only: 27 requests in one run of
+     * LeaveSoakTest with seed 45, and 22 in another, reached a target more than the drain time
      * after its notice was acknowledged. The predecessor is unresponsive except for a late report.
      * The target starts, sends a notice without a start time before any of its reports has arrived,
      * and continues to serve; its first report arrives 4 s later. The notice suspended the
      * predecessor, and the target was treated as one that had started after it.
      *
-     * <p>The log shows QD3009 {@code taken_for} the predecessor, {@code became=suspended}, then
-     * QD3001 of the target, ready. The late report of the predecessor in the second run is
-     * inferred, not logged.
+     * <p>The log has event QD3009 with the predecessor as {@code taken_for} and {@code
+     * became=suspended}, then QD3001 with the target as ready. The late report of the predecessor
+     * in the second run is inferred, not logged.
      */
     @Test
     void leaveAlsoSuspendsSuccessorWhoseReportsAreLate() {
@@ -476,7 +480,7 @@
 
         mRegistry.onReport(report("a#9", "1:1", 1, false), 8500);
 
-        assertThat(ids(mRegistry.reports())).containsExactly("a#9");
+        assertThat(keys(mRegistry.reports())).containsExactly("a#9");
         assertThat(mRegistry.reports().get(0).leaving()).isTrue();
         mRegistry.onReport(report("a#11", "1:1", 1, false), 9000);
         assertThat(mRegistry.reports().get(0).leaving()).isFalse();
@@ -519,12 +523,12 @@
         assertThat(outcome.needsPropagation()).isEqualTo(needsPropagation);
     }
 
-    private static List<String> ids(List<TargetReport> reports) {
+    private static List<String> keys(List<TargetReport> reports) {
         return reports.stream().map(TargetReport::key).toList();
     }
 
-    private static TargetReport report(String id, String address, long sequence, boolean leaving) {
+    private static TargetReport report(String key, String address, long sequence, boolean leaving) {
         return new TargetReport(
-                id, "s", address, "z", "v1", 4, leaving, 0, Map.of("m", 1L), sequence);
+                key, "s", address, "z", "v1", 4, leaving, 0, Map.of("m", 1L), sequence);
     }
 }
--- a/quilldyke-core/src/test/java/org/quilldyke/instance/ControlLinkPlannerTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/instance/ControlLinkPlannerTest.java
@@ -33,7 +33,11 @@
     private static final long CHECK_INTERVAL_MILLIS = 250;
     private static final long CONFIRMATION_DELAY_MILLIS = 250;
 
-    /** From the loss of all streams to a confirmation, however small the bound for changes is. */
+    /**
+     * The maximum time from the loss of all streams until a control process confirms the
+     * configuration again. It must not exceed the smallest time within which deployments require a
+     * change to be in force.
+     */
     private static final long MAX_SEARCH_MILLIS = 2000;
 
     private final Map<String, String> mDomains = new HashMap<>();
