--- a/quilldyke-core/src/main/java/org/quilldyke/QuilldykeException.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/QuilldykeException.java
@@ -16,7 +16,7 @@
 package org.quilldyke;
 
 /**
- * The checked exception of the library: a numbered code, the outcome of the request, and details.
+ * The checked exception of all modules: a numbered code, the outcome of the request, and details.
  */
 public final class QuilldykeException extends Exception {
     private final ResultCode mCode;
@@ -40,9 +40,13 @@
         return new QuilldykeException(code, Outcome.NOT_RUN, detail, 0, null);
     }
 
-    /** Returns an exception for a request that did not run and may be sent again later. */
-    public static QuilldykeException notRunRetryAfter(ResultCode code, String detail, long millis) {
-        return new QuilldykeException(code, Outcome.NOT_RUN, detail, millis, null);
+    /**
+     * Returns an exception for a request that did not run and may be retried after {@code
+     * retryAfterMillis}.
+     */
+    public static QuilldykeException notRunRetryAfter(
+            ResultCode code, String detail, long retryAfterMillis) {
+        return new QuilldykeException(code, Outcome.NOT_RUN, detail, retryAfterMillis, null);
     }
 
     /** Returns an exception with an outcome. */
--- a/quilldyke-core/src/main/java/org/quilldyke/control/Ballot.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/Ballot.java
@@ -20,8 +20,9 @@
  *
  * @param term the latest term that the replica knows
  * @param votedFor the candidate that it voted for in that term, empty for none
- * @param trusted whether the replica may vote and counts towards majorities: false after the loss
- *     of its disk, until it holds the leader's whole log again
+ * @param trusted whether the replica may vote and counts towards majorities: false after a start
+ *     with an empty disk, until it holds the leader's whole log or all other voters have reported
+ *     empty logs
  */
 public record Ballot(long term, String votedFor, boolean trusted) {
     /** Returns the ballot of a replica whose disk is empty. */
--- a/quilldyke-core/src/main/java/org/quilldyke/control/Claim.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/Claim.java
@@ -21,12 +21,12 @@
  * @param fingerprint a hash of the request, to detect a different request under the same key
  * @param requestId the only request that may run under the key
  * @param state what is known of the run
- * @param status HTTP status of the stored answer
+ * @param status HTTP status of the stored answer, 0 if there is none
  * @param answer the stored answer's body, empty if there is none
  * @param contentType the stored answer's content type
  * @param expiresAt when the claim is removed, in milliseconds since the epoch
- * @param runningUntil until when an unfinished run may report its answer, in milliseconds since the
- *     epoch; after that its outcome is unknown
+ * @param runningUntil until when an unfinished run counts as in progress, in milliseconds since the
+ *     epoch; after that its outcome is treated as unknown unless its answer arrives late
  */
 public record Claim(
         String fingerprint,
--- a/quilldyke-core/src/main/java/org/quilldyke/control/ClaimTable.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/ClaimTable.java
@@ -49,7 +49,7 @@
                             "",
                             now + c.keepMillis(),
                             now + c.runMillis());
-            restore(id, claim);
+            put(id, claim);
             return new Result(ResultCode.OK, claim);
         }
         if (!existing.fingerprint().equals(c.fingerprint())) {
@@ -99,7 +99,7 @@
         }
     }
 
-    void restore(String id, Claim claim) {
+    void put(String id, Claim claim) {
         mClaims.put(id, claim);
         mByExpiry.computeIfAbsent(claim.expiresAt(), t -> new TreeSet<>()).add(id);
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/control/Command.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/Command.java
@@ -15,15 +15,12 @@
  */
 package org.quilldyke.control;
 
-/**
- * A change of the control state that is proposed to the log. Times are milliseconds since the
- * epoch.
- */
+/** A command to the control state, proposed to the log. Times are milliseconds since the epoch. */
 public sealed interface Command {
 
     /**
-     * Returns the time by the proposing replica's clock; the state uses the newest time applied so
-     * far if that is later.
+     * Returns the time of the proposal by the proposing replica's clock. If a command applied
+     * earlier has a later time, the state uses that one instead.
      */
     long at();
 
@@ -49,7 +46,7 @@
     /** Records an order before it is sent; its fencing number is this entry's index. */
     record RecordOrder(String number, String target, String weights, long at) implements Command {}
 
-    /** Records that a target has reported the result of an order. */
+    /** Records that a target has reported the weights of its order as loaded. */
     record CloseOrder(String number, String target, long at) implements Command {}
 
     /** Completes a plan whose orders are all done. */
--- a/quilldyke-core/src/main/java/org/quilldyke/control/Configuration.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/Configuration.java
@@ -62,9 +62,9 @@
     public record Model(
             String name, String service, String weights, String previousWeights, long version) {
         /** Returns whether an engine with the given weights may serve the model. */
-        public boolean accepts(String loaded) {
-            return loaded.equals(weights)
-                    || (!previousWeights.isEmpty() && loaded.equals(previousWeights));
+        public boolean accepts(String loadedWeights) {
+            return loadedWeights.equals(weights)
+                    || (!previousWeights.isEmpty() && loadedWeights.equals(previousWeights));
         }
     }
 
@@ -151,7 +151,7 @@
     /**
      * Returns what has changed since an earlier version: only the objects changed later.
      *
-     * @param base a version that the receiver has reached
+     * @param base a version that the receiver of the delta has reached or passed
      */
     public Delta since(long base) {
         return new Delta(
--- a/quilldyke-core/src/main/java/org/quilldyke/control/ControlState.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/ControlState.java
@@ -52,7 +52,7 @@
         state.mConfiguration = snapshot.configuration();
         state.mPlans.putAll(snapshot.plans());
         state.mEndedPlans.addAll(snapshot.endedPlans());
-        snapshot.claims().forEach(state.mClaims::restore);
+        snapshot.claims().forEach(state.mClaims::put);
         state.mLatestCommandMillis = snapshot.lastAt();
         return state;
     }
@@ -106,7 +106,7 @@
         return open;
     }
 
-    /** Returns the number of claims that are held. */
+    /** Returns the number of claims that haven't expired, with or without an answer. */
     public int claimCount() {
         return mClaims.size();
     }
@@ -145,9 +145,9 @@
             return planResult(
                     index, resend ? ResultCode.OK : ResultCode.PLAN_CONFLICT, existing, "");
         }
-        String objection = c.intent().validationError(mConfiguration);
-        if (!objection.isEmpty()) {
-            return planResult(index, ResultCode.INTENT_INVALID, null, objection);
+        String error = c.intent().validationError(mConfiguration);
+        if (!error.isEmpty()) {
+            return planResult(index, ResultCode.INTENT_INVALID, null, error);
         }
         SortedMap<String, Long> reads = new TreeMap<>();
         for (Configuration.ObjectKey key : c.intent().affectedObjects()) {
--- a/quilldyke-core/src/main/java/org/quilldyke/control/DurableState.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/DurableState.java
@@ -23,7 +23,7 @@
  * @param ballot its ballot, {@link Ballot#empty} if the disk is empty
  * @param snapshotIndex the last entry that the stored snapshot covers, 0 for no snapshot
  * @param snapshotTerm that entry's term
- * @param snapshot the state, empty for no snapshot
+ * @param snapshot the encoded state, empty for no snapshot
  * @param snapshotMembership the membership as of the snapshot; empty if there is none
  * @param entries the entries after the snapshot
  */
--- a/quilldyke-core/src/main/java/org/quilldyke/control/ElectionEligibility.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/ElectionEligibility.java
@@ -19,12 +19,14 @@
  * Decides whether a replica without a leader may start an election.
  *
  * <p>A voter may. A replica that was a voter until a membership change that it doesn't know to be
- * committed may, too: if it alone holds that change, its log is the newest and no voter can win an
- * election against it. It waits longer, so that the voters can elect one of themselves first.
+ * committed may, too: if it alone holds that change, the others may still need its vote, which it
+ * doesn't grant since its own log is the newest. It waits longer, so that the voters can elect one
+ * of themselves first, and as the leader it steps down once it has committed an entry of its term.
  */
 final class ElectionEligibility {
     /**
-     * A former voter waits for this many timeouts, about one and a half election timeouts in all.
+     * A former voter lets this many timeouts pass without a pre-vote. At the pre-vote delay of
+     * {@link ElectionTimer} they take about one and a half election timeouts in all.
      */
     private static final int FORMER_VOTER_TIMEOUTS = 8;
 
--- a/quilldyke-core/src/main/java/org/quilldyke/control/ElectionTimer.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/ElectionTimer.java
@@ -21,14 +21,15 @@
  * Determines when a replica without a leader starts an election.
  *
  * <p>The delay is drawn between one and two election timeouts. It doubles with each failed
- * election, so that votes delayed by slow disks still arrive within one election. A pre-vote binds
- * no replica and writes nothing to disk, so it is started sooner: after the start, since all
- * replicas may have been killed together, and again as long as no majority grants it.
+ * election, so that votes delayed by slow disks still arrive within one election. The delay of a
+ * pre-vote is shorter, since a pre-vote binds no replica and writes nothing to disk. It applies
+ * when the replica starts, since there is no leader if all replicas were killed together, and to
+ * each further pre-vote while no majority grants one.
  */
 final class ElectionTimer {
     private static final int MAX_BACKOFF_FACTOR = 8;
 
-    /** A pre-vote is delayed by one to two times the election timeout divided by this. */
+    /** The pre-vote delay is one to two times the election timeout divided by this. */
     private static final int PRE_VOTE_DELAY_DIVISOR = 8;
 
     private final long mElectionMillis;
@@ -42,7 +43,7 @@
         restartForPreVote(now);
     }
 
-    /** Restarts the timer with the short delay of a pre-vote, which precedes every election. */
+    /** Restarts the timer with the short delay of a pre-vote, times the backoff factor. */
     void restartForPreVote(long now) {
         long preVoteDelayMillis = Math.max(1, mElectionMillis / PRE_VOTE_DELAY_DIVISOR);
         mDeadline =
@@ -54,13 +55,13 @@
         mDeadline = now + mBackoffFactor * (mElectionMillis + mRandom.nextLong(mElectionMillis));
     }
 
-    /** Doubles the delay, up to a limit, and restarts the timer. */
+    /** Doubles the backoff factor, up to its limit, and restarts the timer. */
     void restartAfterFailedElection(long now) {
         mBackoffFactor = Math.min(MAX_BACKOFF_FACTOR, 2 * mBackoffFactor);
         restart(now);
     }
 
-    /** Resets the delay and restarts the timer, since there is a leader. */
+    /** Resets the backoff factor and restarts the timer, since there is a leader. */
     void restartOnLeaderContact(long now) {
         mBackoffFactor = 1;
         restart(now);
--- a/quilldyke-core/src/main/java/org/quilldyke/control/FollowerProgress.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/FollowerProgress.java
@@ -42,6 +42,10 @@
         return mMatchIndex;
     }
 
+    /**
+     * Returns whether the follower started with an empty disk and doesn't count towards majorities
+     * yet, see {@link Ballot#trusted}.
+     */
     boolean isLearner() {
         return mLearner;
     }
@@ -59,7 +63,7 @@
         return mInFlight < (mProbing ? 1 : MAX_IN_FLIGHT);
     }
 
-    /** Returns whether a heartbeat is due, which also releases a window whose replies were lost. */
+    /** Returns whether no message has been sent for a heartbeat interval. */
     boolean isHeartbeatDue(long now, long heartbeatMillis) {
         return mLastSentAt == Long.MIN_VALUE || now - mLastSentAt >= heartbeatMillis;
     }
@@ -70,7 +74,10 @@
         mLastSentAt = now;
     }
 
-    /** Continues after the last entry known to match, since replies are overdue. */
+    /**
+     * Goes back to the entry after the last one known to match, if there is one, and treats no
+     * message as in flight: those sent before, or their replies, may have been lost.
+     */
     void rewind() {
         if (mMatchIndex > 0) {
             mNextIndex = mMatchIndex + 1;
@@ -93,7 +100,8 @@
     }
 
     /**
-     * Goes back to where the logs may agree, unless that index or an earlier one is being tried.
+     * Continues from {@code retryIndex}, where the logs may agree, unless that index or an earlier
+     * one is being probed already.
      */
     void onMismatch(long retryIndex, boolean learner) {
         if (mProbing && retryIndex >= mNextIndex) {
@@ -117,6 +125,7 @@
         return mSnapshotOffset;
     }
 
+    /** Allows no further message until the chunk is acknowledged or a heartbeat is due. */
     void onChunkSent(long now) {
         mInFlight = MAX_IN_FLIGHT;
         mLastSentAt = now;
--- a/quilldyke-core/src/main/java/org/quilldyke/control/Membership.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/Membership.java
@@ -74,12 +74,12 @@
         return all;
     }
 
-    /** Returns the ids of all members but one. */
+    /** Returns the ids of all members except {@code self}. */
     public List<String> others(String self) {
         return all().stream().map(Member::id).filter(id -> !id.equals(self)).toList();
     }
 
-    /** Returns the ids of all voters but one. */
+    /** Returns the ids of all voters except {@code self}. */
     public List<String> otherVoters(String self) {
         return voters.stream().map(Member::id).filter(id -> !id.equals(self)).toList();
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/control/MembershipPlanner.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/MembershipPlanner.java
@@ -100,9 +100,9 @@
     }
 
     private Optional<Membership> promoteStandby(GroupView view) {
-        int targetVoters = targetVoterCount(view);
+        int desiredVoters = desiredVoterCount(view);
         long live = view.membership().voters().stream().filter(m -> !view.isFailed(m)).count();
-        if (live >= targetVoters || view.membership().voters().size() > targetVoters) {
+        if (live >= desiredVoters || view.membership().voters().size() > desiredVoters) {
             return Optional.empty();
         }
         return view.membership().standbys().stream()
@@ -113,7 +113,7 @@
 
     private Optional<Membership> demoteVoter(GroupView view) {
         List<Membership.Member> voters = view.membership().voters();
-        if (voters.size() <= targetVoterCount(view) && voters.size() % 2 == 1) {
+        if (voters.size() <= desiredVoterCount(view) && voters.size() % 2 == 1) {
             return Optional.empty();
         }
         Optional<Membership.Member> failed =
@@ -135,9 +135,9 @@
 
     /**
      * Returns how many replicas should vote: an odd number, at most {@code 2 * mToleratedLosses +
-     * 1}, and no more than are available unless they vote already.
+     * 1}, and at most the number of live members or, if that is larger, of current voters.
      */
-    private int targetVoterCount(GroupView view) {
+    private int desiredVoterCount(GroupView view) {
         long live = view.membership().all().stream().filter(m -> !view.isFailed(m)).count();
         int largest = Math.max(view.membership().voters().size(), (int) live);
         int odd = largest % 2 == 1 ? largest : largest - 1;
--- a/quilldyke-core/src/main/java/org/quilldyke/control/MinimumVotersWait.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/MinimumVotersWait.java
@@ -21,16 +21,16 @@
  *
  * <p>A group that tolerates the loss of {@code f} disks needs {@code 2f + 1} voters, but may start
  * with fewer. Entries committed by a majority of fewer voters may be lost with {@code f} disks, and
- * if more than a minority of the voters is lost, no leader can be elected again. A membership is in
- * force from its entry on, so all entries after that of a large enough membership are committed by
- * a majority of it, never by one of a smaller membership.
+ * if half of the voters or more are lost, no leader can be elected again. A membership is in force
+ * from its own log entry on. So once a large enough membership is in the log, all later entries are
+ * committed by a majority of it, never by a majority of a smaller membership.
  *
  * <p>A machine that never starts is itself one of the tolerated losses, so the wait is limited.
  */
 final class MinimumVotersWait {
     /**
-     * A machine may count as lost for up to this long after its start, according to the data
-     * sheets.
+     * A machine that has just started counts as failed until its catch-up time has passed; this is
+     * the largest catch-up time that deployments specify.
      */
     static final long MAX_WAIT_MILLIS = 6000;
 
@@ -43,7 +43,7 @@
         mElectedAt = electedAt;
     }
 
-    /** Updates the elapsed time. */
+    /** Ends the wait if {@link #MAX_WAIT_MILLIS} have passed since the election. */
     void update(long now) {
         mTimedOut = now - mElectedAt >= MAX_WAIT_MILLIS;
     }
--- a/quilldyke-core/src/main/java/org/quilldyke/control/PeerMessage.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/PeerMessage.java
@@ -36,7 +36,13 @@
             long term, long lastIndex, long lastTerm, boolean preVote, boolean leadershipTransfer)
             implements PeerMessage {}
 
-    /** Answers a {@link VoteRequest}. */
+    /**
+     * Answers a {@link VoteRequest}.
+     *
+     * @param term the request's term if the vote is granted, otherwise the voter's current term
+     * @param granted whether the vote is granted
+     * @param preVote copied from the request
+     */
     record VoteReply(long term, boolean granted, boolean preVote) implements PeerMessage {}
 
     /**
@@ -67,8 +73,8 @@
      * @param matched whether the logs agree up to {@code index}
      * @param index the last entry that is synced and matches; if not matched, the index from which
      *     to retry
-     * @param learner whether the follower has lost its disk and doesn't count towards majorities
-     *     yet
+     * @param learner whether the follower started with an empty disk and doesn't count towards
+     *     majorities yet
      * @param sentAt copied from the request
      */
     record AppendReply(long term, boolean matched, long index, boolean learner, long sentAt)
@@ -102,8 +108,8 @@
             implements PeerMessage {}
 
     /**
-     * Asks another voter for its term and the end of its log, after the loss of a disk or at the
-     * first start.
+     * Asks another voter for its term and the end of its log, after the loss of the sender's disk
+     * or at its first start.
      */
     record StateRequest() implements PeerMessage {}
 
--- a/quilldyke-core/src/main/java/org/quilldyke/control/PeerStates.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/PeerStates.java
@@ -38,7 +38,10 @@
         return mLog.membership().otherVoters(mSelf);
     }
 
-    /** Returns whether too few voters have answered for a leader's entries to be accepted. */
+    /**
+     * Returns whether too few voters have answered for a leader's entries to be accepted. A term
+     * above 0 in the ballot counts as learned from enough of them, maybe before a restart.
+     */
     boolean isIncomplete(Ballot ballot) {
         return !ballot.trusted()
                 && mReplies.size() < mLog.membership().quorum()
--- a/quilldyke-core/src/main/java/org/quilldyke/control/Plan.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/Plan.java
@@ -67,7 +67,7 @@
      *     order
      * @param weights the weight version to load
      * @param recordedAt when it was recorded, in milliseconds since the epoch
-     * @param done whether the target has reported the result
+     * @param done whether the target has reported the weights as loaded
      */
     public record Order(
             String target, long fencing, String weights, long recordedAt, boolean done) {
@@ -91,7 +91,7 @@
                 number, intentId, operator, intent, steps, capacityNote, reads, state, copy, note);
     }
 
-    /** Returns the number of orders whose target hasn't reported the result. */
+    /** Returns the number of orders whose target hasn't reported the weights as loaded. */
     public int openOrders() {
         int open = 0;
         for (Order order : orders.values()) {
--- a/quilldyke-core/src/main/java/org/quilldyke/control/Replica.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/Replica.java
@@ -25,10 +25,10 @@
  * A replica of the control state's log: Raft with pre-vote, leader leases and pipelining.
  *
  * <p>After Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014), and
- * sections 4.2.3, 6.4.1 and 9.6 of Ongaro's thesis. Also, a replica whose disk is empty neither
- * votes nor counts towards majorities until it is trusted again. It learns the newest term from a
- * majority of the others, so that a vote lost with the disk isn't given twice, then copies the
- * whole log of a leader of that or a later term. It starts empty only if all others are empty.
+ * sections 4.2.3, 6.4.1 and 9.6 of Ongaro's thesis. In addition, a replica whose disk is empty
+ * isn't trusted: it neither votes nor counts towards majorities. It learns the newest term from a
+ * quorum of others, so that a vote lost with the disk isn't given twice. It is trusted once it has
+ * copied the log of a leader of that or a later term, or if the logs of all other voters are empty.
  *
  * <p>Does no input or output: each call returns the actions to perform, see {@link ReplicaAction}.
  * Not thread-safe.
@@ -49,8 +49,11 @@
     private Role mRole = Role.FOLLOWER;
     private String mLeader = "";
     private Followers mFollowers;
+    // Up to where the log is known to match that of the current leader.
     private long mMatchedIndex;
+    // When the request was sent whose entries are acknowledged once they are synced.
     private long mPendingAckSentAt = NO_PENDING_ACK;
+    // As reported by the leader; at the leader itself, the index of its no-op entry.
     private long mLeaderCommitIndex = Long.MAX_VALUE;
     private long mLeaderSeenAt;
     private boolean mBallotPending;
@@ -64,7 +67,7 @@
         mLog = mStored.log();
         mPeerStates = new PeerStates(settings.self(), mLog);
         mEligibility = new ElectionEligibility(settings.self(), mStored);
-        // A lease that this replica granted before its restart may still be valid.
+        // Delays votes: a lease that this replica granted before its restart may still be valid.
         mLeaderSeenAt = startedAt + settings.startUpVoteDelayMillis() - settings.electionMillis();
     }
 
@@ -169,7 +172,7 @@
     }
 
     /**
-     * Reports that the entries to be stored are synced to disk.
+     * Reports that the entries of {@link ReplicaAction.AppendLog} are synced to disk.
      *
      * @param index the last index of the log when the sync started
      * @param epoch {@link #truncationEpoch} when the sync started; if entries were removed since,
@@ -188,7 +191,7 @@
         return drainActions();
     }
 
-    /** Reports a stored ballot. No election starts or is abandoned until the newest is stored. */
+    /** Reports a stored ballot. Election timeouts are ignored until the newest is stored. */
     public void onBallotStored(Ballot ballot, long now) {
         if (mBallotPending && ballot.equals(mBallot)) {
             mBallotPending = false;
@@ -202,9 +205,8 @@
     }
 
     /**
-     * Steps down and asks the most up-to-date other voter to start an election at once.
-     *
-     * <p>Called when a leader shuts down, so that the group doesn't wait for an election timeout.
+     * Steps down and asks the most up-to-date other voter to start an election at once, so that the
+     * group doesn't wait for an election timeout when a leader shuts down.
      */
     public List<ReplicaAction> transferLeadership(long now) {
         if (mRole == Role.LEADER) {
@@ -223,16 +225,16 @@
         return mRole == Role.LEADER;
     }
 
-    /** Returns whether this replica leads and recent contact with a quorum excludes any other. */
+    /** Returns whether it leads and recent contact with a quorum rules out another leader. */
     public boolean holdsLease(long now) {
         return mRole == Role.LEADER
                 && now < mFollowers.quorumContactAt(now) + mSettings.leaseMillis();
     }
 
     /**
-     * Returns the time, by this replica's clock, up to which no other replica can have led: the
-     * entries it has applied include all that were committed before then. {@link Long#MIN_VALUE} if
-     * it doesn't lead or hasn't committed an entry of its term yet.
+     * Returns the time, by this replica's clock, until which it is known to be the only leader: its
+     * applied entries include all that were committed before then. {@link Long#MIN_VALUE} if it
+     * doesn't lead or hasn't committed an entry of its term yet.
      */
     public long confirmedAt(long now) {
         if (mRole != Role.LEADER || !hasCommittedInTerm()) {
@@ -272,9 +274,9 @@
     }
 
     /**
-     * Returns whether this replica has applied all entries committed as of its leader's last
-     * message, which the leader knows only once it has committed an entry of its term; false until
-     * then.
+     * Returns whether this replica has applied all entries that were committed as of its leader's
+     * last message. False until the leader has committed an entry of its term: before that, the
+     * leader doesn't know which entries of earlier terms are committed.
      */
     public boolean isCurrent() {
         return mStored.appliedIndex() >= mLeaderCommitIndex
@@ -447,7 +449,7 @@
         follow(from, m.term(), now);
         mLeaderCommitIndex = m.commitIndex();
         if (m.previousIndex() < mLog.baseIndex()) {
-            // The snapshot covers the start of this message, so the logs agree up to its end.
+            // The snapshot covers the previous entry, so the logs agree up to the snapshot's end.
             reply(from, true, Math.min(mLog.baseIndex(), mStored.syncedIndex()), m.sentAt());
             return;
         }
@@ -465,9 +467,7 @@
         acknowledge(from, lastSentIndex, m.sentAt());
     }
 
-    /**
-     * Acknowledges synced entries now and others once synced, so a slow disk delays no heartbeat.
-     */
+    /** Acknowledges synced entries now, others once synced: slow disks delay no heartbeat reply. */
     private void acknowledge(String leader, long matchedIndex, long sentAt) {
         mMatchedIndex = Math.max(mMatchedIndex, matchedIndex);
         reply(leader, true, Math.min(matchedIndex, mStored.syncedIndex()), sentAt);
--- a/quilldyke-core/src/main/java/org/quilldyke/control/ReplicaAction.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/ReplicaAction.java
@@ -59,7 +59,7 @@
     /** Apply a committed entry to the state. */
     record Apply(long index, LogEntry entry) implements ReplicaAction {}
 
-    /** This replica leads from now on; orders of earlier leaders may still arrive. */
+    /** This replica leads from now on; orders of earlier leaders may still arrive at targets. */
     record LeadershipWon(long term) implements ReplicaAction {}
 
     /** This replica leads no longer; proposals that aren't applied yet have an unknown outcome. */
--- a/quilldyke-core/src/main/java/org/quilldyke/control/ReplicaSettings.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/ReplicaSettings.java
@@ -45,8 +45,8 @@
     private static final int BATCH_BYTES = 256 << 10;
 
     /**
-     * Clocks of two machines drift apart by less than one part in this; real clocks drift by about
-     * one part in 20,000.
+     * Two machines' clocks drift apart by less than the elapsed time divided by this. Real clocks
+     * drift by about 1/20,000 of it.
      */
     private static final int CLOCK_DRIFT_DIVISOR = 20;
 
@@ -64,18 +64,20 @@
     }
 
     /**
-     * Returns for how long after its start a replica grants no vote, since it may have granted a
-     * lease just before it stopped. The time counts from the start of the process: a control
-     * process on three quarters of a core takes 0.4 s from there until it can vote, so that after a
-     * failure of all processes a leader is elected as soon as the replicas are connected. A whole
-     * election timeout, counted from when it can vote, delayed the leader until 0.41 s after that
-     * (three starts of four replicas).
+     * Returns for how long after the start of its process a replica grants no vote, since it may
+     * have granted a lease just before it stopped.
+     *
+     * <p>A control process on three quarters of a core can vote 0.4 s after its start, when this
+     * delay has passed. So after a failure of all processes a leader is elected as soon as the
+     * replicas are connected. With a delay of a whole election timeout, counted from when the
+     * process can vote, a leader was elected only 0.41 s after that (three starts of four
+     * replicas).
      */
     public long startUpVoteDelayMillis() {
         return leaseMillis + leaseMillis / CLOCK_DRIFT_DIVISOR;
     }
 
-    /** Returns settings with other times. */
+    /** Returns settings with other times, in milliseconds. */
     public ReplicaSettings withTimes(long heartbeat, long election, long lease) {
         return new ReplicaSettings(
                 self,
@@ -88,7 +90,7 @@
                 minVoters);
     }
 
-    /** Returns settings with other message sizes. */
+    /** Returns settings with other message sizes, in bytes. */
     public ReplicaSettings withMessageSizes(int batch, int snapshotChunk) {
         return new ReplicaSettings(
                 self,
--- a/quilldyke-core/src/main/java/org/quilldyke/control/ReplicatedLog.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/ReplicatedLog.java
@@ -23,7 +23,8 @@
 /**
  * The entries that a replica holds in memory: those after its last snapshot.
  *
- * <p>Indexes start at 1; index 0 with term 0 stands for the empty log.
+ * <p>The base is the last entry that the snapshot covers. Indexes start at 1; index 0 with term 0
+ * stands for the empty log.
  */
 final class ReplicatedLog {
     private final ArrayList<LogEntry> mEntries = new ArrayList<>();
@@ -126,7 +127,7 @@
 
     /**
      * Returns the entries from {@code index} on, up to a size of {@code bytes}, but at least one if
-     * there is any.
+     * there is any. Each counts with the size of its payload and 16 bytes.
      */
     List<LogEntry> entriesFrom(long index, int bytes) {
         List<LogEntry> batch = new ArrayList<>();
--- a/quilldyke-core/src/main/java/org/quilldyke/control/StoredLog.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/StoredLog.java
@@ -45,12 +45,13 @@
     /** Returns the log loaded from a disk. */
     static StoredLog restore(
             ReplicaSettings settings, DurableState disk, Consumer<ReplicaAction> actions) {
-        Membership base =
+        Membership baseMembership =
                 disk.snapshotIndex() == 0
                         ? settings.initialMembership()
                         : disk.snapshotMembership();
         ReplicatedLog log =
-                new ReplicatedLog(disk.snapshotIndex(), disk.snapshotTerm(), base, disk.entries());
+                new ReplicatedLog(
+                        disk.snapshotIndex(), disk.snapshotTerm(), baseMembership, disk.entries());
         return new StoredLog(log, disk.snapshot(), actions);
     }
 
--- a/quilldyke-core/src/main/java/org/quilldyke/control/VoteCount.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/control/VoteCount.java
@@ -55,8 +55,8 @@
     /**
      * Returns whether to grant the pre-vote of another replica, in which case this one abandons its
      * own. Of two replicas with equal logs that ask at the same time, the one with the lower id has
-     * priority: otherwise three replicas each started an election and voted for themselves, which
-     * delayed the leader by 0.3 to 0.7 s after both power losses that were examined.
+     * priority: otherwise three replicas each started an election and voted for themselves, so that
+     * a leader was elected 0.3 to 0.7 s later after each of two power losses.
      */
     boolean yieldPreVoteTo(String from, PeerMessage.VoteRequest m, ReplicatedLog log) {
         boolean sameLog = m.lastIndex() == log.lastIndex() && m.lastTerm() == log.lastTerm();
--- a/quilldyke-core/src/test/java/org/quilldyke/control/ControlStateTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/control/ControlStateTest.java
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void claimOfAnUnfinishedRunBecomesUnknownAndThenExpires() throws QuilldykeException {
+    void unfinishedRunBecomesUnknownAcceptsALateAnswerAndExpires() throws QuilldykeException {
         claim("k", "f", "r1", 0);
 
         assertThat(claim("k", "f", "r2", 100).code()).isEqualTo(ResultCode.RUN_UNKNOWN);
@@ -131,18 +131,18 @@
         assertThat(claim("k", "f", "r3", 1010).isOk()).isTrue();
     }
 
-    private CommandResult stateIntent(String number, String id, Intent intent)
+    private CommandResult stateIntent(String number, String intentId, Intent intent)
             throws QuilldykeException {
-        return apply(new Command.StateIntent(number, id, "op", intent, 4, 0));
+        return apply(new Command.StateIntent(number, intentId, "op", intent, 4, 0));
     }
 
     private CommandResult confirm(String number) throws QuilldykeException {
         return apply(new Command.ConfirmPlan(number, 0));
     }
 
-    private CommandResult claim(String key, String fingerprint, String request, long at)
+    private CommandResult claim(String key, String fingerprint, String requestId, long at)
             throws QuilldykeException {
-        return apply(new Command.ClaimRun("o", key, fingerprint, request, 50, 500, at));
+        return apply(new Command.ClaimRun("o", key, fingerprint, requestId, 50, 500, at));
     }
 
     private CommandResult apply(Command command) throws QuilldykeException {
--- a/quilldyke-core/src/test/java/org/quilldyke/control/DemotedVoterTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/control/DemotedVoterTest.java
@@ -22,9 +22,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A leader demotes a voter and then loses its disk, and only the demoted replica has received the
- * change. Its log is then the newest, so no other replica can be elected, but by that log it isn't
- * a voter itself.
+ * A leader demotes a voter and then loses its disk, when only the demoted replica has received the
+ * change. The demoted replica's log is then the newest, so no other replica can be elected, but by
+ * that log it isn't a voter itself.
  */
 class DemotedVoterTest {
     private static final int SEEDS = 50;
--- a/quilldyke-core/src/test/java/org/quilldyke/control/MinimumVotersWaitTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/control/MinimumVotersWaitTest.java
@@ -42,7 +42,7 @@
      * Machines that never start count as lost, and the rest of the group continues without them.
      */
     @Test
-    void waitTimesOutWithoutMissingMachines() {
+    void waitTimesOutIfMachinesNeverStart() {
         MinimumVotersWait wait = new MinimumVotersWait(5, 1000);
         wait.update(1000 + MinimumVotersWait.MAX_WAIT_MILLIS);
 
--- a/quilldyke-core/src/test/java/org/quilldyke/control/ReplicaCluster.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/control/ReplicaCluster.java
@@ -25,7 +25,7 @@
 
 /** Replicas on a network with a delay of one millisecond, in virtual time. */
 final class ReplicaCluster {
-    private static final long TERM = 2;
+    private static final long INITIAL_TERM = 2;
 
     private final Map<String, Replica> mReplicas = new TreeMap<>();
     private Deque<Delivery> mDeliveries = new ArrayDeque<>();
@@ -39,7 +39,12 @@
     void add(ReplicaSettings settings, List<LogEntry> log, int seed) {
         DurableState disk =
                 new DurableState(
-                        new Ballot(TERM, "", true), 0, 0, new byte[0], Membership.empty(), log);
+                        new Ballot(INITIAL_TERM, "", true),
+                        0,
+                        0,
+                        new byte[0],
+                        Membership.empty(),
+                        log);
         SplittableRandom random = new SplittableRandom(seed * 31L + settings.self().hashCode());
         mReplicas.put(settings.self(), Replica.restore(settings, disk, random, 0, 0));
     }
--- a/quilldyke-core/src/test/java/org/quilldyke/control/RollOutPlannerTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/control/RollOutPlannerTest.java
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void fencingNumbersRise() throws QuilldykeException {
+    void ordersHaveDifferentFencingNumbers() throws QuilldykeException {
         startRollOut();
         applyNext(0);
 
@@ -77,6 +77,7 @@
         assertThat(plan().note()).contains("has not loaded w2");
     }
 
+    /** Adds a model with weights w1 and starts to roll out w2, by plans with these numbers. */
     private void startRollOut() throws QuilldykeException {
         for (String weights : List.of("w1", "w2")) {
             Intent intent = new Intent.PutModel("lm", "lm", weights);
--- a/quilldyke-core/src/test/java/org/quilldyke/control/StartUpVoteDelayTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/control/StartUpVoteDelayTest.java
@@ -43,6 +43,7 @@
                     Membership.empty(),
                     List.of(LogEntry.noOp(1)));
 
+    /** The delay is the lease of 350 ms and 17 ms for clock drift. */
     @Test
     void noVoteWhileALeaseMayBeHeld() throws Exception {
         Replica replica = replica("a", 1, STARTED_AT + 300);
@@ -62,8 +63,8 @@
 
     @Test
     void leaderIsElectedSoonAfterTheVoteDelay() throws Exception {
-        // 56 to 112 ms until the first of three pre-votes, then two rounds of messages. It took 435
-        // ms with a whole election timeout from when the replicas were created.
+        // The first of three pre-votes starts after 56 to 112 ms; two round trips follow. With a
+        // whole election timeout from when the replicas were created it took 435 ms.
         assertThat(millisToElectLeader(String::hashCode)).isAtMost(120);
     }
 
--- a/quilldyke-core/src/test/java/org/quilldyke/control/UnresponsiveStandbyTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/control/UnresponsiveStandbyTest.java
@@ -26,18 +26,18 @@
  * A leader must not promote a standby that has never answered it. The last contact with such a
  * standby is {@link Long#MIN_VALUE}, and the time since then overflowed and looked recent.
  *
- * <p>The failure came about when two machines with disks were replaced, one after the other. The
- * first was a standby, and its id stayed in the membership. The second was a voter that led. After
- * its failure another replica led, and 2.5 s later promoted the dead standby in its place. With two
- * of four voters alive, that leader lost its leadership at once, no other was elected, and the
- * group accepted no command again.
+ * <p>The failure came about when two machines and their disks were replaced, one after the other.
+ * The first was a standby, and its id stayed in the membership. The second was a voter and the
+ * leader. After its failure another replica was elected, and 2.5 s later promoted the dead standby
+ * in its place. With two of four voters alive, the new leader lost its leadership at once, no other
+ * was elected, and the group accepted no further command.
  */
 class UnresponsiveStandbyTest {
     private static final int SEEDS = 20;
     private static final int TOLERATED_LOSSES = 1;
     private static final int RUN_MILLIS = 8000;
     private static final Membership THREE = Membership.ofIds(List.of("gone", "b", "c"));
-    private static final Membership FIVE =
+    private static final Membership THREE_AND_STANDBYS =
             THREE.withStandby(new Membership.Member("dead", "dead"))
                     .withStandby(new Membership.Member("live", "live"));
 
@@ -57,7 +57,8 @@
 
     private void runCluster(int seed) throws Exception {
         mCluster.clear();
-        List<LogEntry> log = List.of(LogEntry.noOp(1), LogEntry.ofMembership(2, FIVE));
+        List<LogEntry> log =
+                List.of(LogEntry.noOp(1), LogEntry.ofMembership(2, THREE_AND_STANDBYS));
         for (String id : List.of("b", "c", "live")) {
             mCluster.add(ReplicaSettings.of(id, THREE), log, seed);
         }
