--- a/quilldyke-core/src/main/java/org/quilldyke/caller/Admission.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/Admission.java
@@ -43,8 +43,8 @@
     private static final double MAX_RETRY_DELAY_FRACTION = 1.0 / 3;
 
     /**
-     * The longest retry delay, in objectives: the queue caused by a typical burst has drained by
-     * then.
+     * The longest retry delay, as a multiple of the latency objective: the queue caused by a
+     * typical burst has drained by then.
      */
     private static final double MAX_RETRY_DELAY_OBJECTIVES = 2.0;
 
@@ -53,7 +53,7 @@
     /**
      * Returns whether a request is admitted.
      *
-     * @param admissionMillis the expected time to the first event, less the exempt part of the
+     * @param admissionMillis the expected time to the first event, less the discounted part of the
      *     prefill, see {@link #discountedPrefillMillis}
      */
     public static boolean admits(ForwardRequest request, long admissionMillis) {
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/DisconnectedRuns.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/DisconnectedRuns.java
@@ -35,7 +35,8 @@
      */
     static final long RETENTION_MILLIS = 2000;
 
-    private final Map<String, Map<RequestFingerprint, Long>> mByTarget = new HashMap<>();
+    private final Map<String, Map<RequestFingerprint, Long>> mDisconnectedAtByTarget =
+            new HashMap<>();
 
     private DisconnectedRuns() {}
 
@@ -47,30 +48,36 @@
     /** Records that a target closed the connection of a run. */
     public void onDisconnected(String target, RequestFingerprint request, long now) {
         expire(now);
-        mByTarget.computeIfAbsent(target, id -> new HashMap<>()).put(request, now);
+        mDisconnectedAtByTarget.computeIfAbsent(target, id -> new HashMap<>()).put(request, now);
     }
 
-    /** Returns the crash of a target that has ended; empty if it has not closed a run before. */
+    /**
+     * Returns the crash of a target that has ended, dated at the first connection that it closed;
+     * empty if it has closed none within {@link #RETENTION_MILLIS}.
+     */
     public Optional<TargetCrash> onTargetEnded(String target, long now) {
         expire(now);
-        Map<RequestFingerprint, Long> disconnected = mByTarget.remove(target);
+        Map<RequestFingerprint, Long> disconnected = mDisconnectedAtByTarget.remove(target);
         if (disconnected == null) {
             return Optional.empty();
         }
         Set<RequestFingerprint> requests = new HashSet<>(disconnected.keySet());
-        long at = disconnected.values().stream().mapToLong(Long::longValue).min().orElse(now);
-        return Optional.of(new TargetCrash(target, requests, at));
+        long firstDisconnectedAt =
+                disconnected.values().stream().mapToLong(Long::longValue).min().orElse(now);
+        return Optional.of(new TargetCrash(target, requests, firstDisconnectedAt));
     }
 
-    /** Discards the runs of a target that has shut down in an orderly way. */
+    /** Discards the runs of a target that shuts down in an orderly way. */
     public void onTargetLeft(String target) {
-        mByTarget.remove(target);
+        mDisconnectedAtByTarget.remove(target);
     }
 
     private void expire(long now) {
-        for (Map<RequestFingerprint, Long> disconnected : mByTarget.values()) {
-            disconnected.values().removeIf(at -> now - at > RETENTION_MILLIS);
+        for (Map<RequestFingerprint, Long> disconnected : mDisconnectedAtByTarget.values()) {
+            disconnected
+                    .values()
+                    .removeIf(disconnectedAt -> now - disconnectedAt > RETENTION_MILLIS);
         }
-        mByTarget.values().removeIf(Map::isEmpty);
+        mDisconnectedAtByTarget.values().removeIf(Map::isEmpty);
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/EventCountBound.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/EventCountBound.java
@@ -16,30 +16,30 @@
 package org.quilldyke.caller;
 
 /**
- * Upper bound for the number of events in an answer of one service, by its token limit.
+ * Upper bound for the number of events in an answer of one service, given its token limit.
  *
- * <p>Each event but the last has the same number of tokens, which is not transmitted. It is derived
- * from answers: the number of tokens in the events of an answer cannot exceed its limit. This bound
- * is tight only for answers that use most of their limit; until a few of those have been seen, one
- * token per event is assumed.
+ * <p>Each event but the last has the same number of tokens, which is not transmitted. An upper
+ * bound for it follows from each answer, whose events cannot have more tokens than its limit. That
+ * bound is close only if the answer uses most of its limit; until a few such answers have been
+ * seen, one token per event is assumed.
  */
 final class EventCountBound {
     /**
      * An answer with more tokens per event than this is assumed to have ended well below its limit
-     * and is ignored. Sites use 4 or 5 tokens per event; where 4 is right, accepting 7 makes the
-     * bound too low by a factor of 1.75.
+     * and is ignored. Sites use 4 or 5 tokens per event; if 7 is accepted where a site uses 4, the
+     * bound for the number of events is too low by a factor of 1.75.
      */
     private static final int MAX_TOKENS_PER_EVENT = 7;
 
     /**
      * Number of answers near their limit before the estimate is used: of 40 answers with the
-     * distribution of lengths in {@link RunDurationBound}, at least two use 120 or more of 191
-     * events in 9 of 10 cases.
+     * distribution of lengths in {@link RunDurationBound}, at least two have 120 or more of the
+     * maximum of 191 events in 9 of 10 cases.
      */
     private static final int MIN_SAMPLES = 2;
 
     private int mTokensPerEvent = MAX_TOKENS_PER_EVENT;
-    private int mSamples;
+    private int mSampleCount;
 
     /**
      * Records an answer, complete or not.
@@ -51,16 +51,17 @@
         if (events < 2) {
             return;
         }
+        // The last event has at least one token.
         int tokensPerEvent = Math.max(1, (maxTokens - 1) / (events - 1));
         if (tokensPerEvent <= MAX_TOKENS_PER_EVENT) {
             mTokensPerEvent = Math.min(mTokensPerEvent, tokensPerEvent);
-            mSamples++;
+            mSampleCount++;
         }
     }
 
     /** Returns the maximum number of events in an answer with the given token limit. */
     int maxEvents(int maxTokens) {
-        int tokensPerEvent = mSamples < MIN_SAMPLES ? 1 : mTokensPerEvent;
+        int tokensPerEvent = mSampleCount < MIN_SAMPLES ? 1 : mTokensPerEvent;
         return (maxTokens + tokensPerEvent - 1) / tokensPerEvent;
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/EventCountEstimator.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/EventCountEstimator.java
@@ -24,25 +24,27 @@
  *
  * <p>Most answers use a tenth of their limit. When the maximum was assumed for each, 42 streams
  * were moved during the shutdowns of one simulated day, of which 34 would have ended within 4 s of
- * the 7.8 s available.
+ * the 7.8 s that a shutdown takes.
  */
 final class EventCountEstimator {
-    /** A few minutes of one instance's streams. */
+    /** Covers a few minutes of one instance's streams. */
     private static final int MAX_SAMPLES = 256;
 
-    /** With fewer answers of at least the current length there is no estimate. */
+    /** With fewer recorded answers that are longer than the current one there is no estimate. */
     private static final int MIN_SAMPLES = 8;
 
-    /** Fraction of the answers of at least the current length that end by the estimate. */
+    /** Fraction of the longer answers that have at most the estimated number of events. */
     private static final double LIKELY_QUANTILE = 0.75;
 
-    private final double[] mEventsPerToken = new double[MAX_SAMPLES];
-    private int mSamples;
+    /** Ratios of the number of events to the token limit. */
+    private final double[] mEventsPerLimitToken = new double[MAX_SAMPLES];
+
+    private int mSampleCount;
 
     /** Records a complete answer. */
     void onCompleted(int maxTokens, int events) {
-        mEventsPerToken[mSamples % MAX_SAMPLES] = (double) events / Math.max(1, maxTokens);
-        mSamples++;
+        mEventsPerLimitToken[mSampleCount % MAX_SAMPLES] = (double) events / Math.max(1, maxTokens);
+        mSampleCount++;
     }
 
     /**
@@ -54,8 +56,8 @@
      */
     OptionalInt likelyEvents(int maxTokens, int events) {
         double[] longerAnswers =
-                Arrays.stream(mEventsPerToken, 0, Math.min(mSamples, MAX_SAMPLES))
-                        .map(eventsPerToken -> eventsPerToken * maxTokens)
+                Arrays.stream(mEventsPerLimitToken, 0, Math.min(mSampleCount, MAX_SAMPLES))
+                        .map(eventsPerLimitToken -> eventsPerLimitToken * maxTokens)
                         .filter(totalEvents -> totalEvents > events)
                         .sorted()
                         .toArray();
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/ForwardRequest.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/ForwardRequest.java
@@ -20,7 +20,7 @@
 import org.quilldyke.manifest.Route;
 
 /**
- * A caller's request, as far as it determines how it is forwarded.
+ * The properties of a caller's request that determine how it is forwarded.
  *
  * @param id the caller's id for this attempt
  * @param route the route that the request matches
@@ -32,7 +32,8 @@
  * @param arrivedAt when it was read
  * @param deadline when it expires: the caller's own deadline or the timeout of the route
  * @param fingerprint digest of the request, independent of its id
- * @param resumeAfterEvent the event after which its stream continues, -1 to start at the beginning
+ * @param resumeAfterEvent the number of the event after which its stream continues, -1 to start at
+ *     the beginning
  */
 public record ForwardRequest(
         String id,
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/Forwarding.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/Forwarding.java
@@ -32,25 +32,27 @@
  * again only if it is repeatable, within the route's attempts and the retry budget.
  *
  * <p>A run in progress is not cancelled before another target has started to answer: a successor is
- * asked while the run is kept, so that a failure of the successor does no harm. An answer that has
- * started is aborted only if its target failed and no other target may run the request, if its
- * deadline has passed, or if this instance has reached its shutdown deadline.
+ * asked while the run is kept, so that a failure of the successor does not affect it. An answer
+ * that has started is aborted only if its target failed and no other target may run the request, if
+ * its deadline has passed, or if this instance has reached its shutdown deadline.
  */
 public final class Forwarding {
-    /** Divisor of the objective: how long a request waits at most while no target is available. */
+    /**
+     * A request waits for an available target for at most the latency objective divided by this.
+     */
     private static final int WAIT_DIVISOR = 5;
 
     private static final long POLL_MILLIS = 20;
 
-    /** Number of failed connections after which the caller is notified. */
+    /** Number of failed connections after which a request is refused or its stream backs off. */
     private static final int MAX_UNREACHABLE = 5;
 
     /** Shortest time without data before another target is asked, whatever the objective. */
     private static final long MIN_UNRESPONSIVE_MILLIS = 800;
 
     /**
-     * Retries that must be available to move a stream by choice: one for the move, and two that
-     * remain for answers whose target fails.
+     * Retries that must be available to move a stream from a working target: one for the move, and
+     * two that remain for answers whose target fails.
      */
     private static final int MIN_RETRIES_TO_MOVE = 3;
 
@@ -161,7 +163,7 @@
         return new Step.Relay();
     }
 
-    /** Records that events up to the given one were relayed to the caller. */
+    /** Records that events up to the given event number were relayed to the caller. */
     public void onEventRelayed(long event) {
         mAnswerStarted = true;
         mResumeBackoff.onEvent();
@@ -175,7 +177,7 @@
         return mHistory.runCount();
     }
 
-    /** Returns the last event that was relayed, -1 for none. */
+    /** Returns the number of the last event that was relayed, -1 for none. */
     public long lastRelayedEvent() {
         return mLastRelayedEvent;
     }
@@ -190,7 +192,7 @@
         return onRunFailed(code, CutCause.TARGET, now);
     }
 
-    /** Returns the step after the target was given up as failed. */
+    /** Returns the step after the target is treated as failed. */
     public Step onTargetLost(CutCause cause, long now) {
         if (!mRun.isSent()) {
             return onUnreachable(now);
@@ -208,8 +210,8 @@
     }
 
     /**
-     * Returns where a started stream may continue because its target waits for it to end before
-     * loading weights; empty if it stays. Its run is kept until the successor has started.
+     * Returns the successor of a started stream whose target waits for it to end before loading
+     * weights; empty if the stream stays. Its run is kept until the successor has started.
      */
     public Optional<Step.Send> onLoadPending(long now) {
         boolean mayMove =
@@ -221,16 +223,18 @@
     }
 
     /**
-     * Returns which target may take over because the current one is unresponsive; empty if {@link
-     * #mayReplaceTarget} does not allow it. The run is kept until the successor has started.
+     * Returns the successor of a run whose target is unresponsive; empty if {@link
+     * #mayReplaceTarget} does not allow one or none is available. The run is kept until the
+     * successor has started.
      */
     public Optional<Step.Send> onTargetUnresponsive(long now) {
         return mayReplaceTarget(now) ? askSuccessor(CutCause.SILENCE, now) : Optional.empty();
     }
 
     /**
-     * Returns where a started stream has to move to end before the shutdown deadline of this
-     * instance; empty if it stays. Its run is kept until the successor has started.
+     * Returns the successor to which a started stream has to move to end before the shutdown
+     * deadline of this instance; empty if the stream stays. Its run is kept until the successor has
+     * started.
      */
     public Optional<Step.Send> onShutdownCheck(long now) {
         if (!mAnswerStarted || !mayAskSuccessor(now)) {
@@ -363,10 +367,10 @@
     }
 
     /**
-     * Returns whether another target may be asked because the current one is unresponsive. Not so
-     * while it sends data for other requests: then it is only busy, and another target would have
-     * to process the same prompt once more. Nor if no other target could answer or the request must
-     * not be sent again.
+     * Returns whether another target may be asked because the current one is unresponsive. While
+     * the current one sends data for other requests, it is only busy, and another target would have
+     * to process the same prompt once more. No target is asked either if none could answer or the
+     * request must not be sent again.
      */
     public boolean mayReplaceTarget(long now) {
         return !mHandover.isPending()
@@ -459,9 +463,9 @@
     }
 
     /**
-     * Returns the step by which a started stream that has lost its target resumes. What is missing
-     * may soon be available (retry budget, or a target that is loading weights), so the stream
-     * waits for it as long as its caller does.
+     * Returns the step by which a started stream that has lost its target resumes. If retry budget
+     * or a target is missing, it may soon be available (a target may be loading weights), so the
+     * stream waits for it as long as its caller does.
      */
     private Step resumeStream(ResultCode code, long now) {
         mResumeBackoff.onInterrupted(now);
@@ -574,6 +578,7 @@
                 : refuse(new Step.Refuse(code, mTargets.retryAfterMillis(mRequest, now), detail));
     }
 
+    /** Returns the step that ends the request; the refusal only if nothing may have run. */
     private Step refuse(Step.Refuse refusal) {
         if (mAnswerStarted) {
             return new Step.Abort(refusal.code(), mCutCause);
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/Handover.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/Handover.java
@@ -23,17 +23,17 @@
  */
 final class Handover {
     /**
-     * Fraction of the longest allowed pause within which the successor of a move must be expected
-     * to start; the rest is for the transfer to the caller.
+     * Fraction of the route's event gap within which the successor of a move must be expected to
+     * start; the rest is for the transfer to the caller.
      */
-    private static final double MOVE_START_PAUSES = 0.8;
+    private static final double MAX_MOVE_START_EVENT_GAPS = 0.8;
 
     /**
-     * Longest time, in allowed pauses, for which events are held back until the successor starts.
-     * When successors were given up within the allowed pause, 64 of 146 were asked in vain in two
-     * simulated days, instead of 15 of 134.
+     * Longest time, in event gaps of the route, for which events are held back until the successor
+     * starts. When successors were discarded after one event gap, 64 of 146 were asked in vain in
+     * two simulated days, instead of 15 of 134.
      */
-    private static final double MAX_HOLD_PAUSES = 2;
+    private static final double MAX_HOLD_EVENT_GAPS = 2;
 
     private final Route mRoute;
     private TargetRun mSuccessor;
@@ -85,15 +85,15 @@
         }
     }
 
-    /** Returns whether the stream may still be moved by choice. */
+    /** Returns whether the stream may still be moved from a working target. */
     boolean mayMove() {
         return !mMoveFailed;
     }
 
     /**
      * Returns whether events of the run are held back until the successor starts, because it
-     * continues after the event that was relayed last when it was asked. Not so for an unresponsive
-     * run: if it sends again, no successor is needed.
+     * continues after the event that was relayed last when it was asked. Events of an unresponsive
+     * run are not held back: if it sends again, no successor is needed.
      */
     boolean holdsEvents() {
         return isPending() && mCause != CutCause.SILENCE;
@@ -101,16 +101,16 @@
 
     /** Returns for how long after the last relayed event further ones may be held back. */
     long holdMillis() {
-        return Math.round(MAX_HOLD_PAUSES * mRoute.eventGapMillis());
+        return Math.round(MAX_HOLD_EVENT_GAPS * mRoute.eventGapMillis());
     }
 
     /**
-     * Returns the time within which a successor must be expected to start: a move by choice must
-     * not delay the answer, and an unresponsive run has no events to hold back.
+     * Returns the time within which a successor must be expected to start: a move from a working
+     * target must not delay the answer, and an unresponsive run has no events to hold back.
      */
     long maxExpectedMillis(CutCause cause) {
         return switch (cause) {
-            case MOVE -> Math.round(MOVE_START_PAUSES * mRoute.eventGapMillis());
+            case MOVE -> Math.round(MAX_MOVE_START_EVENT_GAPS * mRoute.eventGapMillis());
             case SHUTDOWN -> holdMillis();
             default -> Long.MAX_VALUE;
         };
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/PoisonRequestDetector.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/PoisonRequestDetector.java
@@ -53,16 +53,18 @@
 
     private static final int REFUSAL_GROWTH_FACTOR = 6;
 
-    /** From this number of crashes on, entries report whether the request completes. */
+    /** From this number of crashes on, instances that forward the request report its completion. */
     private static final int MIN_CRASHES_TO_WATCH = 2;
 
     /** How long after a request's last crash its completion is of interest. */
     private static final long WATCH_MILLIS = 60_000;
 
-    /** Two reports of one refusal may differ by the time that they took to arrive. */
+    /** The expiry times in two reports of one refusal may differ by their transmission times. */
     private static final long MAX_REPORT_SKEW_MILLIS = 1000;
 
+    /** By target; all reports for one target are of the same crash. */
     private final Map<String, TargetCrash> mCrashes = new LinkedHashMap<>();
+
     private final Map<RequestFingerprint, Long> mCompletedAt = new LinkedHashMap<>();
     private final Map<RequestFingerprint, Suspect> mRefused = new LinkedHashMap<>();
     private Map<RequestFingerprint, Suspect> mSuspects = Map.of();
@@ -87,9 +89,10 @@
         if (known != null && requests.size() == known.requests().size()) {
             return false;
         }
-        long at =
+        long crashedAt =
                 known == null ? crash.crashedAt() : Math.min(known.crashedAt(), crash.crashedAt());
-        mCrashes.put(crash.target(), new TargetCrash(crash.target(), Set.copyOf(requests), at));
+        mCrashes.put(
+                crash.target(), new TargetCrash(crash.target(), Set.copyOf(requests), crashedAt));
         dropOldest(mCrashes, MAX_CRASHES);
         return true;
     }
@@ -138,7 +141,8 @@
                         });
         Map<RequestFingerprint, Suspect> suspects = new HashMap<>();
         for (RequestFingerprint request : requests) {
-            evaluateRequest(request, evidence, now).ifPresent(s -> suspects.put(request, s));
+            evaluateRequest(request, evidence, now)
+                    .ifPresent(suspect -> suspects.put(request, suspect));
         }
         List<Suspect> changes = new ArrayList<>();
         for (Suspect suspect : suspects.values()) {
@@ -193,7 +197,10 @@
         boolean isWatched =
                 crashes.size() >= MIN_CRASHES_TO_WATCH
                         && crashes.stream()
-                                .anyMatch(t -> now - mCrashes.get(t).crashedAt() < WATCH_MILLIS);
+                                .anyMatch(
+                                        target ->
+                                                now - mCrashes.get(target).crashedAt()
+                                                        < WATCH_MILLIS);
         return isWatched
                 ? Optional.of(new Suspect(request, Suspect.Standing.WATCHED, Set.of(), 0, 0))
                 : Optional.empty();
@@ -224,7 +231,9 @@
                 .anyMatch(crash -> crash != null && crash.crashedAt() >= refused.refusedUntil());
     }
 
-    /** Returns the crashes at which a request was present and that no other one explains better. */
+    /**
+     * Returns the crashes at which a request was present and that no other request explains better.
+     */
     private Set<String> attributedCrashes(RequestFingerprint request, Evidence evidence) {
         Set<String> crashes = evidence.candidateCrashes(request);
         Set<String> attributed = new HashSet<>();
@@ -235,7 +244,7 @@
         }
         Suspect refused = mRefused.get(request);
         if (refused != null && !mCompletedAt.containsKey(request)) {
-            // Evidence that was dropped meanwhile, or that only another instance has.
+            // Crashes that were dropped meanwhile, or that only another instance knows.
             refused.targets().stream()
                     .filter(target -> !mCrashes.containsKey(target))
                     .forEach(attributed::add);
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/Prompt.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/Prompt.java
@@ -18,7 +18,7 @@
 import java.util.List;
 
 /**
- * The prompt of a request, by its parts.
+ * The prompt of a request, divided into the parts that requests may share.
  *
  * @param model the model that it is for
  * @param tokens the size of the whole prompt
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/RestartReport.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/RestartReport.java
@@ -30,8 +30,8 @@
 public record RestartReport(long receivedAt) {
     /**
      * Time without data after which the report is accepted, and after which received data cannot
-     * have been in transit when the report was received: as long as a target that has sent data
-     * counts as responding.
+     * have been in transit when the report was received. It equals the time for which a target that
+     * has sent data counts as responding.
      */
     static final long VERIFICATION_MILLIS = TargetSelector.RESPONDING_MILLIS;
 
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/ResumeBackoff.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/ResumeBackoff.java
@@ -20,10 +20,11 @@
 /**
  * When a started stream that has lost its target may try to resume at another one.
  *
- * <p>Each attempt uses the retry budget that all requests share. The delay between failed attempts
- * grows exponentially, as long as the caller of the stream waits.
+ * <p>Each attempt uses the retry budget that all requests share, so the delay between failed
+ * attempts grows exponentially up to a maximum. Attempts end when the caller stops waiting.
  */
 final class ResumeBackoff {
+    /** Shortest time between two checks; the delay between attempts is a multiple of it. */
     private static final long POLL_MILLIS = 20;
 
     /** Number of attempts without a delay between them. */
@@ -65,8 +66,8 @@
     }
 
     /**
-     * Returns when to check again whether the stream can resume; empty if its caller has waited
-     * long enough.
+     * Returns when to check again whether the stream can resume; empty if its caller no longer
+     * waits by then.
      *
      * @param callerTimeoutMillis how long the caller waits for an event
      * @param deadline the deadline of the request
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/RunDurationBound.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/RunDurationBound.java
@@ -21,26 +21,30 @@
  * Upper bound for the duration of runs of one kind: the longest of the last runs, with a margin.
  */
 final class RunDurationBound {
-    /** A few minutes of one instance's streams, after which a slow engine no longer counts. */
+    /**
+     * Covers a few minutes of one instance's streams; after that, a slow engine no longer counts.
+     */
     private static final int MAX_SAMPLES = 256;
 
     /** With fewer completed runs there is no bound. */
     private static final int MIN_COMPLETED_RUNS = 40;
 
     /**
-     * Lengths have a log-normal distribution (sigma 0.7), truncated at four times the median; the
-     * longest of 40 runs is below two thirds of that maximum in one case in twenty. Event intervals
-     * vary less: the slowest of 100 is twice the median.
+     * Run lengths have a log-normal distribution (sigma 0.7), truncated at four times the median;
+     * the longest of 40 runs is below two thirds of that maximum in one case in twenty. Event
+     * intervals vary less: the longest of 100 is twice the median.
      */
     private static final double MARGIN = 1.5;
 
     private final double[] mDurations = new double[MAX_SAMPLES];
-    private int mSamples;
+    private int mSampleCount;
     private int mCompletedRuns;
 
     /**
-     * Records the duration of a completed run, in milliseconds per unit that the kind is measured
-     * by.
+     * Records the duration of a completed run.
+     *
+     * @param millis milliseconds per unit in which runs of this kind are measured: per event, per
+     *     token or per run
      */
     void onCompleted(double millis) {
         mCompletedRuns++;
@@ -48,8 +52,8 @@
     }
 
     /**
-     * Records the duration of an interrupted run until it ended. It is only a lower bound, so one
-     * that is shorter than others is ignored.
+     * Records the duration of an interrupted run until it ended. It is only a lower bound, so it is
+     * ignored unless it exceeds all recorded durations.
      */
     void onInterrupted(double millis) {
         if (millis > longest()) {
@@ -65,13 +69,13 @@
     }
 
     private void addSample(double millis) {
-        mDurations[mSamples % MAX_SAMPLES] = millis;
-        mSamples++;
+        mDurations[mSampleCount % MAX_SAMPLES] = millis;
+        mSampleCount++;
     }
 
     private double longest() {
         double longest = 0;
-        for (int i = 0; i < Math.min(mSamples, MAX_SAMPLES); i++) {
+        for (int i = 0; i < Math.min(mSampleCount, MAX_SAMPLES); i++) {
             longest = Math.max(longest, mDurations[i]);
         }
         return longest;
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/RunHistory.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/RunHistory.java
@@ -24,8 +24,7 @@
  * The targets that have run one request, and the targets that may run it now.
  *
  * <p>The number of targets that run a request is limited. Once the limit is reached, only a target
- * whose run was abandoned by choice while in progress may run the request again, since its attempt
- * has not failed.
+ * whose run was abandoned while in progress may run the request again, since it has not failed.
  */
 final class RunHistory {
     private final int mMaxTargets;
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/ServiceRetryBudget.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/ServiceRetryBudget.java
@@ -28,8 +28,8 @@
     private static final int BUCKETS = 20;
 
     /**
-     * Fraction of the budget that is used, since other instances may count one instance less than
-     * there are.
+     * Fraction of the budget that is used, so that the total stays within it if instances count one
+     * instance less than there are.
      */
     private static final double USED_FRACTION = 0.8;
 
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/ShutdownAdmission.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/ShutdownAdmission.java
@@ -46,8 +46,8 @@
     private static final double DEFAULT_MILLIS_PER_TOKEN = 80;
 
     private final Map<String, StreamDurationBound> mStreamBounds = new HashMap<>();
-    private final Map<String, RunDurationBound> mTokenBounds = new HashMap<>();
-    private final Map<String, RunDurationBound> mRequestBounds = new HashMap<>();
+    private final Map<String, RunDurationBound> mMillisPerTokenBounds = new HashMap<>();
+    private final Map<String, RunDurationBound> mRequestMillisBounds = new HashMap<>();
     private long mShutdownDeadline = NOT_SHUTTING_DOWN;
 
     private ShutdownAdmission() {}
@@ -110,7 +110,7 @@
         } else if (isMeasuredByEvents(request)) {
             streamBound(request).onCompleted(maxTokens(request), events, millis);
         } else {
-            durationBound(request).onCompleted(perToken(request, millis));
+            durationBound(request).onCompleted(millisPerToken(request, millis));
         }
     }
 
@@ -123,7 +123,7 @@
      */
     public void onInterrupted(ForwardRequest request, int events, long millis) {
         if (!isMeasuredByEvents(request)) {
-            durationBound(request).onInterrupted(perToken(request, millis));
+            durationBound(request).onInterrupted(millisPerToken(request, millis));
         } else if (events > 0) {
             streamBound(request).onInterrupted(maxTokens(request), events, millis);
         }
@@ -158,17 +158,17 @@
     }
 
     private static OptionalDouble maxMillisOf(RunDurationBound bound, int maxTokens) {
-        OptionalDouble maxPerToken = bound.upperBound();
-        return maxPerToken.isEmpty()
-                ? maxPerToken
-                : OptionalDouble.of(maxPerToken.getAsDouble() * Math.max(1, maxTokens));
+        OptionalDouble maxMillisPerToken = bound.upperBound();
+        return maxMillisPerToken.isEmpty()
+                ? maxMillisPerToken
+                : OptionalDouble.of(maxMillisPerToken.getAsDouble() * Math.max(1, maxTokens));
     }
 
     /**
      * Answers without events are measured per token of their limit, or as a whole if they have
      * none.
      */
-    private static double perToken(ForwardRequest request, long millis) {
+    private static double millisPerToken(ForwardRequest request, long millis) {
         return (double) millis / Math.max(1, maxTokens(request));
     }
 
@@ -187,7 +187,7 @@
 
     private RunDurationBound durationBound(ForwardRequest request) {
         Map<String, RunDurationBound> bounds =
-                maxTokens(request) > 0 ? mTokenBounds : mRequestBounds;
+                maxTokens(request) > 0 ? mMillisPerTokenBounds : mRequestMillisBounds;
         return bounds.computeIfAbsent(request.service(), service -> new RunDurationBound());
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/ShutdownMigration.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/ShutdownMigration.java
@@ -31,7 +31,7 @@
  * instance.
  *
  * <p>A target that did not start in time has delayed the events and would do so again, so it is not
- * asked again. A target that refused the stream without running it is.
+ * asked again. A target that refused the stream without running it may be asked again later.
  */
 final class ShutdownMigration {
     private final ForwardRequest mRequest;
@@ -110,8 +110,9 @@
      */
     private record Refusals(int count, long retryAt) {
         /**
-         * A full queue advances within this time. Doubled with each refusal, a stream asks one
-         * target five times in the 7.8 s of a shutdown, each time for one retry of the budget.
+         * A full queue advances within this time. Since the delay doubles with each refusal, a
+         * stream asks one target at most five times in the 7.8 s of a shutdown; each request uses
+         * one retry of the budget.
          */
         private static final long FIRST_RETRY_DELAY_MILLIS = 200;
 
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/StartUpWait.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/StartUpWait.java
@@ -24,7 +24,7 @@
  * served.
  */
 public final class StartUpWait {
-    /** An instance without configuration after this time has another problem than its start. */
+    /** If an instance has no configuration after this time, its start-up is not the cause. */
     static final long MAX_WAIT_MILLIS = 700;
 
     /** Fraction of its remaining time that a request may wait. */
@@ -36,11 +36,11 @@
      * Returns whether a request may continue to wait.
      *
      * @param arrivedAt when it arrived
-     * @param millisLeft how long its caller would wait for an answer at most, from its arrival
+     * @param millisLeftAtArrival how long after its arrival its caller waits for an answer
      * @param now the current time
      */
-    public static boolean mayWait(long arrivedAt, long millisLeft, long now) {
+    public static boolean mayWait(long arrivedAt, long millisLeftAtArrival, long now) {
         return now - arrivedAt
-                < Math.min(MAX_WAIT_MILLIS, Math.round(millisLeft * MAX_WAIT_FRACTION));
+                < Math.min(MAX_WAIT_MILLIS, Math.round(millisLeftAtArrival * MAX_WAIT_FRACTION));
     }
 }
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/Step.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/Step.java
@@ -25,12 +25,12 @@
      *
      * @param choice the target, and why it was chosen
      * @param millisLeft how long the target may work on it
-     * @param resumeAfterEvent the event after which the stream continues, -1 to start at the
-     *     beginning
+     * @param resumeAfterEvent the number of the event after which the stream continues, -1 to start
+     *     at the beginning
      */
     record Send(Choice choice, long millisLeft, long resumeAfterEvent) implements Step {}
 
-    /** Wait for a target, and ask again at the given time. */
+    /** Wait until the given time, then call {@link Forwarding#onWaitElapsed}. */
     record Wait(long until) implements Step {}
 
     /** Wait for the successor, which was asked while the previous run was still in progress. */
@@ -44,7 +44,7 @@
      *
      * @param code why
      * @param retryAfterMillis when the caller may retry, 0 if unknown
-     * @param detail what was known about the targets, for the log
+     * @param detail the reason in detail, for the log
      */
     record Refuse(ResultCode code, long retryAfterMillis, String detail) implements Step {}
 
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/StreamCursor.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/StreamCursor.java
@@ -120,7 +120,7 @@
         NEXT,
         /** Drop it: it was relayed before. */
         REPEATED,
-        /** Drop it: it belongs to another request or to an earlier attempt. */
+        /** Drop it: it has no valid id, or belongs to another request or attempt. */
         CROSSED,
         /** Chunks before it are missing: resume at the cursor. */
         GAP
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/StreamForecast.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/StreamForecast.java
@@ -23,13 +23,13 @@
  * <p>Most streams end long before their maximum. So a stream that may be late stays as long as a
  * faster target could still complete it if it was moved later.
  *
- * @param eventsLeft the maximum number of remaining events
+ * @param eventsLeft the estimated number of remaining events; the maximum without an estimate
  * @param eventIntervalMillis the event interval at the current target
  */
 public record StreamForecast(int eventsLeft, double eventIntervalMillis) {
     /**
-     * If no target is certain to complete the stream in time, it moves only if this much is gained:
-     * event intervals of equally loaded engines differ by less.
+     * If no target is certain to complete the stream in time, it moves only if another one is
+     * faster by this factor: event intervals of equally loaded engines differ by less.
      */
     static final double MIN_SPEEDUP = 1.5;
 
@@ -41,11 +41,10 @@
 
     private static final double MIN_EVENT_INTERVAL_MILLIS = 0.1;
 
-    /** Returns the forecast of a stream with a known maximum of remaining events. */
-    public static StreamForecast of(int maxEventsLeft, double eventIntervalMillis) {
+    /** Returns the forecast of a stream for an estimate or a maximum of its remaining events. */
+    public static StreamForecast of(int eventsLeft, double eventIntervalMillis) {
         return new StreamForecast(
-                Math.max(0, maxEventsLeft),
-                Math.max(MIN_EVENT_INTERVAL_MILLIS, eventIntervalMillis));
+                Math.max(0, eventsLeft), Math.max(MIN_EVENT_INTERVAL_MILLIS, eventIntervalMillis));
     }
 
     /** Returns the forecast of a stream that may last until its own deadline. */
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/Suspect.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/Suspect.java
@@ -21,11 +21,11 @@
  * A request that targets were running when they crashed.
  *
  * @param request its fingerprint
- * @param standing the consequence
+ * @param standing how the request is treated
  * @param targets the targets that it may have crashed
  * @param refusedUntil when the refusal expires, in milliseconds of this process's clock; from then
  *     on one crash is sufficient to refuse the request again
- * @param refusals how often it was found to crash targets, 0 if it is only watched
+ * @param refusals the number of refusals decided so far, 0 if it is only watched
  */
 public record Suspect(
         RequestFingerprint request,
@@ -33,9 +33,9 @@
         Set<String> targets,
         long refusedUntil,
         int refusals) {
-    /** The consequence of a suspicion. */
+    /** How a suspect is treated. */
     public enum Standing {
-        /** It is forwarded; an entry where it completes reports that. */
+        /** It is forwarded; instances report its completion. */
         WATCHED,
         /** It is not forwarded for a limited time. */
         REFUSED,
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/SuspectRequests.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/SuspectRequests.java
@@ -22,8 +22,8 @@
 import org.quilldyke.ResultCode;
 
 /**
- * The requests that an entry treats as suspected of crashing targets, and the recent completions
- * that clear requests. Not thread-safe.
+ * The requests that one instance treats as suspected of crashing targets, and the recent
+ * completions of requests, which may clear suspects. Not thread-safe.
  */
 public final class SuspectRequests {
     static final int MAX_SUSPECTS = 4096;
--- a/quilldyke-core/src/main/java/org/quilldyke/caller/TargetRun.java
+++ b/quilldyke-core/src/main/java/org/quilldyke/caller/TargetRun.java
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Records that the run has ended, with whatever outcome. */
+    /** Records that the run has ended, with any outcome. */
     void finish() {
         if (!mFinished) {
             mFinished = true;
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/DisconnectedRunsTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/DisconnectedRunsTest.java
@@ -27,7 +27,7 @@
     private final DisconnectedRuns mRuns = DisconnectedRuns.create();
 
     @Test
-    void targetThatEndsRightAfterClosingRunsHasCrashed() {
+    void targetThatEndsRightAfterClosingConnectionsHasCrashed() {
         mRuns.onDisconnected("a", ONE, 100);
         mRuns.onDisconnected("a", TWO, 104);
         mRuns.onDisconnected("b", TWO, 104);
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void targetThatClosedNoRunOrHasLeftHasNotCrashed() {
+    void targetThatClosedNoConnectionOrShutsDownHasNotCrashed() {
         mRuns.onDisconnected("a", ONE, 100);
         mRuns.onTargetLeft("a");
 
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/EventCountBoundTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/EventCountBoundTest.java
@@ -61,7 +61,8 @@
     }
 
     /**
-     * The last event of a small answer has only the remaining tokens; no other event has that few.
+     * The last event of an answer may have fewer tokens than the others, which matters in answers
+     * of few events.
      */
     @Test
     void smallAnswersDontReduceTokensPerEvent() {
@@ -73,7 +74,7 @@
     }
 
     @Test
-    void eventsOfOneToken() {
+    void eventsMayHaveOneToken() {
         addAnswers(2, 10, 10);
 
         assertThat(mBound.maxEvents(110)).isEqualTo(110);
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/EventCountEstimatorTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/EventCountEstimatorTest.java
@@ -62,8 +62,8 @@
         assertThat(mEstimator.likelyEvents(MAX_TOKENS, 5)).isEqualTo(OptionalInt.of(100));
     }
 
-    private void addAnswers(int runs, int events) {
-        for (int i = 0; i < runs; i++) {
+    private void addAnswers(int answers, int events) {
+        for (int i = 0; i < answers; i++) {
             mEstimator.onCompleted(MAX_TOKENS, events);
         }
     }
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/ForwardingSimulation.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/ForwardingSimulation.java
@@ -34,8 +34,8 @@
 import org.quilldyke.routing.TargetState;
 
 /**
- * Drives the forwarding of one request with random events, as an entry does, while targets join and
- * leave. Counts what the targets would receive and checks the guarantees against it.
+ * Drives the forwarding of one request with random events, as an instance does, while targets join
+ * and leave. Counts what the targets would receive and checks the guarantees against it.
  */
 final class ForwardingSimulation {
     private static final AnswerHead OK = new AnswerHead(200, false, false, true, false);
@@ -48,7 +48,10 @@
             new AnswerHead(200, false, false, false, true);
 
     private static final int MAX_STEPS = 400;
+
+    /** More than a simulation of {@link #MAX_STEPS} steps can use. */
     private static final int UNLIMITED_RETRIES = 1000;
+
     private static final int MIN_RESUME_MILLIS = 700;
 
     private final StringBuilder mTrace = new StringBuilder();
@@ -154,7 +157,7 @@
         return mTrace.toString();
     }
 
-    /** Applies an event from outside of the request. */
+    /** Applies an event that the request itself does not cause. */
     private void applyExternalEvent() {
         int kind = mRandom.nextInt(8);
         if (kind == 0) {
@@ -205,7 +208,7 @@
             log("unresponsive");
             askSuccessor(mForwarding.onTargetUnresponsive(mNow));
         } else if (kind == 1) {
-            log("waits to load");
+            log("target waits to load weights");
             askSuccessor(mForwarding.onLoadPending(mNow));
         } else if (kind == 2 && mRandom.nextInt(3) == 0) {
             log("loss reported by control");
@@ -377,8 +380,8 @@
     }
 
     /**
-     * Ends with a step; {@code expectedCause} is the cause of an abort, null if it must be the last
-     * target.
+     * Ends with a step; {@code expectedCause} is the cause of an abort, null if it must be a
+     * failure of the last target.
      */
     private void endWith(Step step, CutCause expectedCause) {
         log("=> " + step);
@@ -493,8 +496,8 @@
                 .that(mArrivals - 1.0)
                 .isAtMost(usedRetries + 0.001);
         for (TargetState state : mTargets.targets()) {
-            Predicate<Run> isThere = run -> run != null && run.mTarget.equals(state.id());
-            int open = (isThere.test(mRun) ? 1 : 0) + (isThere.test(mSuccessor) ? 1 : 0);
+            Predicate<Run> isAtTarget = run -> run != null && run.mTarget.equals(state.id());
+            int open = (isAtTarget.test(mRun) ? 1 : 0) + (isAtTarget.test(mSuccessor) ? 1 : 0);
             assertWithMessage("open at " + state.id()).that(state.ownRequests()).isEqualTo(open);
             if (open == 0) {
                 assertThat(state.ownTokens()).isEqualTo(0);
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/ForwardingSimulationTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/ForwardingSimulationTest.java
@@ -40,8 +40,7 @@
             }
         }
 
-        // Checks that the simulations cover each outcome; otherwise they prove less than they seem
-        // to.
+        // Checks that the simulations cover each outcome.
         assertWithMessage("%s", outcomes)
                 .that(outcomes.keySet())
                 .containsAtLeast(
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/ForwardingTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/ForwardingTest.java
@@ -161,14 +161,14 @@
 
     @Test
     void unsignedAnswerIsNotRelayed() {
-        Forwarding once = forwarding(RequestKind.NON_IDEMPOTENT, 1);
-        send(once.start(0), once);
-        assertThat(once.onAnswerHead(UNSIGNED, 5))
+        Forwarding nonIdempotent = forwarding(RequestKind.NON_IDEMPOTENT, 1);
+        send(nonIdempotent.start(0), nonIdempotent);
+        assertThat(nonIdempotent.onAnswerHead(UNSIGNED, 5))
                 .isEqualTo(new Step.Fail(ResultCode.ANSWER_SPOILED));
 
-        Forwarding again = forwarding(RequestKind.IDEMPOTENT, 2);
-        send(again.start(0), again);
-        send(again.onAnswerHead(UNSIGNED, 5), again);
+        Forwarding idempotent = forwarding(RequestKind.IDEMPOTENT, 2);
+        send(idempotent.start(0), idempotent);
+        send(idempotent.onAnswerHead(UNSIGNED, 5), idempotent);
     }
 
     @Test
@@ -206,8 +206,8 @@
     /** Such an answer was relayed into the open stream, which then was neither ended nor closed. */
     @Test
     void resumedStreamIsAbortedIfTheNewAnswerIsNoStream() {
-        AnswerHead unreadable = new AnswerHead(400, false, false, false, false);
-        for (AnswerHead head : List.of(FAILED, unreadable, OK)) {
+        AnswerHead badRequest = new AnswerHead(400, false, false, false, false);
+        for (AnswerHead head : List.of(FAILED, badRequest, OK)) {
             Forwarding forwarding = forwarding(RequestKind.STREAMING, 2);
             send(forwarding.start(0), forwarding);
             forwarding.onAnswerHead(STREAM, 5);
@@ -267,9 +267,7 @@
         assertThat(forwarding.onWaitElapsed(95)).isInstanceOf(Step.Refuse.class);
     }
 
-    /**
-     * When busy engines were given up, other engines processed the same prompts again, endlessly.
-     */
+    /** When busy engines were abandoned, others processed the same prompts again, repeatedly. */
     @Test
     void busyTargetIsNotTreatedAsUnresponsive() {
         Forwarding forwarding = forwarding(RequestKind.IDEMPOTENT, 2);
@@ -303,9 +301,9 @@
 
     @Test
     void otherRequestsStayWhenTheirTargetWaitsToLoad() {
-        Forwarding waiting = forwarding(RequestKind.STREAMING, 2);
-        send(waiting.start(0), waiting);
-        assertThat(waiting.onLoadPending(20)).isEqualTo(Optional.empty());
+        Forwarding notStarted = forwarding(RequestKind.STREAMING, 2);
+        send(notStarted.start(0), notStarted);
+        assertThat(notStarted.onLoadPending(20)).isEqualTo(Optional.empty());
 
         Forwarding nonIdempotent = forwarding(RequestKind.NON_IDEMPOTENT, 2);
         send(nonIdempotent.start(0), nonIdempotent);
@@ -336,26 +334,26 @@
     @Test
     void streamStaysIfItsSuccessorRefuses() {
         mRetryBudget = ServiceRetryBudget.create(0, 3.75, 10_000, 1);
-        Forwarding moved = startedStream();
-        moved.onLoadPending(20);
+        Forwarding stream = startedStream();
+        stream.onLoadPending(20);
 
-        moved.onSuccessorSending();
-        moved.onSuccessorRefused(REFUSED, 30);
+        stream.onSuccessorSending();
+        stream.onSuccessorRefused(REFUSED, 30);
 
-        assertThat(moved.onLoadPending(40)).isEqualTo(Optional.empty());
-        assertThat(moved.holdsEvents()).isFalse();
-        moved.onEventRelayed(5);
-        assertThat(moved.lastRelayedEvent()).isEqualTo(5);
+        assertThat(stream.onLoadPending(40)).isEqualTo(Optional.empty());
+        assertThat(stream.holdsEvents()).isFalse();
+        stream.onEventRelayed(5);
+        assertThat(stream.lastRelayedEvent()).isEqualTo(5);
     }
 
     /** Events would be held back for too long, and the prompt would be processed in vain. */
     @Test
     void streamStaysIfAllOthersWouldStartTooLate() {
-        Forwarding stays = startedStream();
+        Forwarding stream = startedStream();
         List.of("a", "b", "c").forEach(id -> mTargets.onOtherInstancesLoad(id, 1000, 0));
 
-        assertThat(stays.onLoadPending(20)).isEqualTo(Optional.empty());
-        assertThat(stays.onTargetUnresponsive(900)).isNotEqualTo(Optional.empty());
+        assertThat(stream.onLoadPending(20)).isEqualTo(Optional.empty());
+        assertThat(stream.onTargetUnresponsive(900)).isNotEqualTo(Optional.empty());
     }
 
     /** Two retries remain for answers whose target fails. */
@@ -367,7 +365,7 @@
         assertThat(startedStream().onLoadPending(60)).isEqualTo(Optional.empty());
     }
 
-    /** A move by choice once used up the attempt that protects against a failure. */
+    /** A move from a working target used up the attempt that protects against a failure. */
     @Test
     void movedStreamReturnsToItsOldTargetIfTheNewOneFails() {
         Forwarding moved = forwarding(RequestKind.STREAMING, 2);
@@ -400,8 +398,8 @@
     @Test
     void brokenStreamWaitsForRetryBudget() {
         mRetryBudget = ServiceRetryBudget.create(0, 1.25, 200, 1);
-        Forwarding spender = startedStream();
-        send(spender.onAnswerFailed(ResultCode.TARGET_LOST, 20), spender);
+        Forwarding earlier = startedStream();
+        send(earlier.onAnswerFailed(ResultCode.TARGET_LOST, 20), earlier);
         Forwarding waiting = startedStream();
 
         Step step = waiting.onAnswerFailed(ResultCode.TARGET_LOST, 30);
@@ -439,7 +437,7 @@
         assertThat(forwarding.onAnswerHead(OK, 920)).isEqualTo(new Step.Relay());
     }
 
-    /** A stream on its second target was aborted after 1 s of silence, with no target left. */
+    /** A stream on its second target was aborted after 1 s without data, with no target left. */
     @Test
     void targetIsNotReplacedWhenNoOtherCouldAnswer() {
         Forwarding lastAttempt = forwarding(RequestKind.STREAMING, 2);
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/PoisonRequestDetectorTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/PoisonRequestDetectorTest.java
@@ -257,13 +257,13 @@
         return requests;
     }
 
-    private static void report(PoisonRequestDetector ledger, TargetCrash crash) {
-        ledger.onCrash(crash);
-        ledger.evaluate(1000);
+    private static void report(PoisonRequestDetector detector, TargetCrash crash) {
+        detector.onCrash(crash);
+        detector.evaluate(1000);
     }
 
-    private static Set<RequestFingerprint> refused(PoisonRequestDetector ledger) {
-        return ledger.suspects().stream()
+    private static Set<RequestFingerprint> refused(PoisonRequestDetector detector) {
+        return detector.suspects().stream()
                 .filter(suspect -> suspect.standing() == Suspect.Standing.REFUSED)
                 .map(Suspect::request)
                 .collect(Collectors.toSet());
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/RestartReportTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/RestartReportTest.java
@@ -25,7 +25,7 @@
     private final RestartReport mReport = new RestartReport(RECEIVED_AT);
 
     @Test
-    void silenceBeforeTheReportDoesNotCount() {
+    void timeWithoutDataBeforeTheReportDoesNotCount() {
         assertThat(mReport.acceptedAt(0)).isEqualTo(RECEIVED_AT + VERIFICATION_MILLIS);
         assertThat(mReport.acceptedAt(RECEIVED_AT)).isEqualTo(RECEIVED_AT + VERIFICATION_MILLIS);
     }
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/ServiceRetryBudgetTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/ServiceRetryBudgetTest.java
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void requestsAddRetriesAndTheWindowRestoresThem() {
+    void requestsAddRetriesAndUsedRetriesExpireWithTheWindow() {
         ServiceRetryBudget budget = ServiceRetryBudget.create(0.2, 0, 10_000, 1);
         for (int i = 0; i < 100; i++) {
             budget.onRequest("s", 0);
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/ShutdownAdmissionTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/ShutdownAdmissionTest.java
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void streamThatEndsInTimeAtTheSlowestPaceIsAdmitted() {
+    void streamThatEndsInTimeAtTheLongestIntervalIsAdmitted() {
         completeStreams(ENOUGH_RUNS, SHORT_STREAM_TOKENS, 500);
         completeStreams(1, SHORT_STREAM_TOKENS, 2870);
         mAdmission.onShutdown(DEADLINE);
@@ -83,7 +83,7 @@
      * <p>When the duration of streams was estimated per token of their limit, an instance admitted
      * a stream during its shutdown and aborted it seconds later: some 40 short answers had
      * completed before, and the stream used its whole limit. Streams of 844 tokens were admitted up
-     * to 1.2 s after the signal, while complete ones lasted up to 10.1 s.
+     * to 1.2 s after the shutdown signal, while complete ones lasted up to 10.1 s.
      */
     @Test
     void shortAnswersDontAdmitStreamThatMayUseAllItsTokens() {
@@ -93,7 +93,7 @@
         assertThat(mAdmission.admits(stream(LONG_STREAM_TOKENS, 15_000), 20, 1200)).isFalse();
     }
 
-    /** Nor do answers that use half of their limit show how many events the whole limit makes. */
+    /** Answers that use half of their limit do not show the number of events at the whole limit. */
     @Test
     void answersOfHalfTheLimitDontRevealTokensPerEvent() {
         completeShorterStreams(ENOUGH_RUNS, LONG_STREAM_TOKENS, 95, 1000);
@@ -128,7 +128,7 @@
 
     /** A stream of two events with a pause between them made all streams look that slow. */
     @Test
-    void pauseInShortAnswerDoesNotSetThePaceOfLongOnes() {
+    void pauseInShortAnswerDoesNotRaiseTheIntervalOfLongOnes() {
         completeStreams(ENOUGH_RUNS, SHORT_STREAM_TOKENS, 900);
         completeShorterStreams(1, SHORT_STREAM_TOKENS, 2, 400);
         mAdmission.onShutdown(DEADLINE);
@@ -166,7 +166,7 @@
         assertThat(mAdmission.admits(stream(SHORT_STREAM_TOKENS, 15_000), 20, 0)).isTrue();
     }
 
-    /** Each counted as a complete stream and made complete ones look short. */
+    /** Resumed streams counted as complete ones and made those look short. */
     @Test
     void resumedStreamsDontShortenTheBound() {
         for (int i = 0; i < ENOUGH_RUNS; i++) {
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/ShutdownMigrationTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/ShutdownMigrationTest.java
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void targetWithTooLongAQueueIsNotAsked() {
+    void targetWithTooLongQueueIsNotAsked() {
         Forwarding forwarding = startSlowStream();
         addTarget("quick", 10);
         mTargets.onOtherInstancesLoad("quick", 2, 60_000);
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/StartUpWaitTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/StartUpWaitTest.java
@@ -19,10 +19,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** After all processes had been killed, there were only refusals for two seconds. */
+/** After all processes had been killed and restarted, each request was refused for two seconds. */
 final class StartUpWaitTest {
     @Test
-    void waitsForAQuarterOfItsRemainingTime() {
+    void requestWaitsForAQuarterOfItsRemainingTime() {
         assertThat(StartUpWait.mayWait(1000, 600, 1149)).isTrue();
         assertThat(StartUpWait.mayWait(1000, 600, 1150)).isFalse();
     }
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/StreamForecastTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/StreamForecastTest.java
@@ -64,8 +64,8 @@
 
     /**
      * Event intervals and ages of streams that were aborted at the shutdown deadline, assumed to
-     * use their whole token limit. Some of them would reach their own deadline before, but not at
-     * the faster engine.
+     * use their whole token limit. Some of them would reach their own deadline before that, but not
+     * at the faster engine.
      */
     @Test
     void slowStreamsEndInTimeGivenAFastEngine() {
@@ -74,13 +74,17 @@
         };
         for (int[] stream : intervalAndAge) {
             for (int otherInterval = 20; otherInterval <= 32; otherInterval++) {
-                assertThat(endOf(stream[0], stream[1], otherInterval)).isAtMost((double) DEADLINE);
+                assertThat(endMillis(stream[0], stream[1], otherInterval))
+                        .isAtMost((double) DEADLINE);
             }
         }
     }
 
-    /** Returns when a stream of 211 events ends that is checked every 100 ms from the signal. */
-    private static double endOf(int interval, int age, int otherInterval) {
+    /**
+     * Returns when a stream of 211 events ends that is checked every 100 ms from the shutdown
+     * signal.
+     */
+    private static double endMillis(int interval, int age, int otherInterval) {
         for (long now = 0; now < DEADLINE; now += 100) {
             int left = (int) (211 - (now + age) / interval);
             if (StreamForecast.of(left, interval).mustMove(other(otherInterval), DEADLINE, now)) {
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/SuccessorTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/SuccessorTest.java
@@ -63,7 +63,7 @@
      * A stream that was to resume at its second target, which had not started, was sent to a third.
      */
     @Test
-    void runThatHasNotStartedCountsWhenItsTargetWaitsToLoad() {
+    void unstartedRunCountsAsAttemptWhenItsTargetWaitsToLoad() {
         add("c");
         Forwarding forwarding = forwarding(RequestKind.STREAMING, 2);
         startStream(forwarding);
@@ -84,8 +84,8 @@
     }
 
     /**
-     * A target sent data once more and then became unresponsive permanently; no other was asked
-     * again.
+     * A target sent data once more and then became unresponsive permanently; the discarded
+     * successor was not asked again.
      */
     @Test
     void discardedSuccessorMayBeAskedAgain() {
--- a/quilldyke-core/src/test/java/org/quilldyke/caller/SuspectRequestsTest.java
+++ b/quilldyke-core/src/test/java/org/quilldyke/caller/SuspectRequestsTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 import org.quilldyke.ResultCode;
 
-/** How an entry treats requests that are reported to crash targets. */
+/** How an instance treats requests that are reported to crash targets. */
 class SuspectRequestsTest {
     private static final RequestFingerprint REQUEST = new RequestFingerprint(1, 1);
     private static final long REFUSED_UNTIL = 5000;
