--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/GatewayProcess.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/GatewayProcess.java
@@ -199,7 +199,7 @@
     /** Returns how many calls were cut: those that take longer than calls ever should. */
     private int endControl(long start) {
         if (mNode != null) {
-            mControl.execute(mNode::leave);
+            mControl.execute(mNode::transferLeadership);
         }
         pause(POLL_MILLIS);
         while (openCalls() > 0 && mClock.getAsLong() < start + LAST_CALLS_MILLIS) {
--- /dev/null
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/AckedBroadcasts.java
@@ -0,0 +1,144 @@
+/*
+ * Copyright 2026 The quilldyke authors
+ *
+ * Licensed under the Apache License, Version 2.0 (the "License");
+ * you may not use this file except in compliance with the License.
+ * You may obtain a copy of the License at
+ *
+ *     http://www.apache.org/licenses/LICENSE-2.0
+ *
+ * Unless required by applicable law or agreed to in writing, software
+ * distributed under the License is distributed on an "AS IS" BASIS,
+ * WITHOUT WARRANTIES OR CONDITIONS OF ANY KIND, either express or implied.
+ * See the License for the specific language governing permissions and
+ * limitations under the License.
+ */
+package org.quilldyke.gateway.control;
+
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Set;
+import java.util.concurrent.CompletableFuture;
+import java.util.function.Consumer;
+import java.util.function.LongSupplier;
+import java.util.function.Predicate;
+import org.quilldyke.gateway.instance.proto.PeerFrame;
+import org.quilldyke.gateway.instance.proto.Taken;
+import org.quilldyke.gateway.instance.proto.Targets;
+
+/**
+ * News that others count on once they are acknowledged: they are known at so many other control
+ * processes that those which may be lost can't take them along.
+ */
+final class AckedBroadcasts {
+    /** A target waits for a second, and asks another process then. */
+    static final long TIMEOUT_MILLIS = 700;
+
+    /** What needs no delivery. */
+    static final CompletableFuture<Boolean> COMPLETED = CompletableFuture.completedFuture(true);
+
+    private final Consumer<PeerFrame.Builder> mToPeers;
+    private final LongSupplier mClock;
+    private final int mRequiredAcks;
+    private final Map<Long, PendingBroadcast> mPending = new HashMap<>();
+    private final Set<String> mDeliveredKeys = new HashSet<>();
+    private long mLastNumber;
+
+    /**
+     * @param toPeers sends a frame to all other control processes in reach
+     * @param clock monotonic milliseconds
+     * @param requiredAcks how many of them have to take news
+     */
+    AckedBroadcasts(Consumer<PeerFrame.Builder> toPeers, LongSupplier clock, int requiredAcks) {
+        mToPeers = toPeers;
+        mClock = clock;
+        mRequiredAcks = requiredAcks;
+    }
+
+    /**
+     * Tells news to all other control processes in reach.
+     *
+     * @return whether enough of them have taken the news, within {@link #TIMEOUT_MILLIS}
+     */
+    CompletableFuture<Boolean> broadcast(Targets targets) {
+        PendingBroadcast pending = new PendingBroadcast(mClock.getAsLong());
+        mPending.put(++mLastNumber, pending);
+        mToPeers.accept(
+                PeerFrame.newBuilder()
+                        .setTargets(targets.toBuilder().setNumber(mLastNumber).build()));
+        completeIfAcknowledged(mLastNumber, pending);
+        return pending.mResult;
+    }
+
+    /**
+     * Does so, unless it was done for the same subject.
+     *
+     * @return as {@link #broadcast}
+     */
+    CompletableFuture<Boolean> broadcastOnce(String key, Targets targets) {
+        if (mDeliveredKeys.contains(key)) {
+            return COMPLETED;
+        }
+        return broadcast(targets)
+                .thenApply(
+                        acknowledged -> {
+                            if (acknowledged) {
+                                mDeliveredKeys.add(key);
+                            }
+                            return acknowledged;
+                        });
+    }
+
+    /** News of a subject are to be delivered again. */
+    void forget(String key) {
+        mDeliveredKeys.remove(key);
+    }
+
+    /** Forgets the subjects that there are no more. */
+    void retain(Predicate<String> exists) {
+        mDeliveredKeys.removeIf(exists.negate());
+    }
+
+    /** Takes the word of another control process that it has taken the news with a number. */
+    void onAck(String from, long number) {
+        PendingBroadcast pending = mPending.get(number);
+        if (pending != null) {
+            pending.mAckedBy.add(from);
+            completeIfAcknowledged(number, pending);
+        }
+    }
+
+    /** Gives up those that wait for too long; call it often. */
+    void expire() {
+        long limit = mClock.getAsLong() - TIMEOUT_MILLIS;
+        for (Map.Entry<Long, PendingBroadcast> entry : Map.copyOf(mPending).entrySet()) {
+            if (entry.getValue().mStartedAt < limit) {
+                mPending.remove(entry.getKey());
+                entry.getValue().mResult.complete(false);
+            }
+        }
+    }
+
+    /** Returns the answer to news with a number. */
+    static PeerFrame.Builder ackFrame(long number) {
+        return PeerFrame.newBuilder().setTaken(Taken.newBuilder().setNumber(number));
+    }
+
+    private void completeIfAcknowledged(long number, PendingBroadcast pending) {
+        if (pending.mAckedBy.size() >= mRequiredAcks) {
+            mPending.remove(number);
+            pending.mResult.complete(true);
+        }
+    }
+
+    private static final class PendingBroadcast {
+        final long mStartedAt;
+        final Set<String> mAckedBy = new HashSet<>();
+        final CompletableFuture<Boolean> mResult = new CompletableFuture<>();
+
+        PendingBroadcast(long startedAt) {
+            mStartedAt = startedAt;
+        }
+    }
+}
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CacheReader.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CacheEventReader.java
@@ -31,14 +31,14 @@
  * <p>Only the incarnation that is read counts. The answer of an earlier one changes nothing; that
  * of a later one shows that nothing is kept any more of what this one kept, and tells nothing else.
  */
-final class CacheReader {
+final class CacheEventReader {
     private final String mHolder;
     private final String mAddress;
     private final EventLog mLog;
     private boolean mUp = true;
-    private boolean mAnswered;
+    private boolean mLastPollSucceeded;
     private long mEpoch;
-    private long mNext;
+    private long mNextEvent;
 
     /**
      * Creates a reader that has read nothing.
@@ -47,7 +47,7 @@
      * @param address where it takes requests
      * @param log where losses go
      */
-    CacheReader(String holder, String address, EventLog log) {
+    CacheEventReader(String holder, String address, EventLog log) {
         mHolder = holder;
         mAddress = address;
         mLog = log;
@@ -62,8 +62,8 @@
     }
 
     /** Returns the event after which to go on. */
-    long next() {
-        return mNext;
+    long nextEvent() {
+        return mNextEvent;
     }
 
     /** Returns whether the holder answers, as far as known. */
@@ -72,20 +72,20 @@
     }
 
     /** Returns whether the last answer was one, so that the holder may be asked again at once. */
-    boolean wasAnswered() {
-        return mAnswered;
+    boolean lastPollSucceeded() {
+        return mLastPollSucceeded;
     }
 
     /** Takes an answer, or that there was none; returns what is to be told. */
-    Optional<CacheNews> onAnswer(Optional<CacheEvents> answer) {
-        Incarnation holder = Incarnation.ofKey(mHolder);
-        mAnswered = answer.isPresent() && holder.mayMatch(answer.get().born());
-        if (mAnswered) {
-            return onEvents(answer.get());
-        } else if (answer.isEmpty()) {
-            return onNoAnswer();
+    Optional<CacheNews> onPollResult(Optional<CacheEvents> events) {
+        Incarnation incarnation = Incarnation.ofKey(mHolder);
+        mLastPollSucceeded = events.isPresent() && incarnation.mayMatch(events.get().born());
+        if (mLastPollSucceeded) {
+            return onEvents(events.get());
+        } else if (events.isEmpty()) {
+            return onPollFailure();
         }
-        return holder.isSupersededBy(answer.get().born()) ? onOutlived() : Optional.empty();
+        return incarnation.isSupersededBy(events.get().born()) ? onSuperseded() : Optional.empty();
     }
 
     private Optional<CacheNews> onEvents(CacheEvents events) {
@@ -94,51 +94,51 @@
         if (restarted || events.gap()) {
             logResync(restarted, events.gap());
         }
-        CacheNews.Builder news = news().setUp(true).setRestarted(restarted);
-        Map<Long, Boolean> kept = new LinkedHashMap<>();
+        CacheNews.Builder update = newUpdate().setUp(true).setRestarted(restarted);
+        Map<Long, Boolean> changedKeys = new LinkedHashMap<>();
         for (CacheEvents.Change change : events.changes()) {
-            kept.put(CacheKeys.of(change.salt(), change.part()), change.added());
+            changedKeys.put(CacheKeys.of(change.salt(), change.part()), change.added());
         }
-        kept.forEach(
+        changedKeys.forEach(
                 (key, added) -> {
                     if (added) {
-                        news.addAdded(key);
+                        update.addAdded(key);
                     } else {
-                        news.addRemoved(key);
+                        update.addRemoved(key);
                     }
                 });
-        boolean told = first || restarted || !mUp || !events.changes().isEmpty();
+        boolean changed = first || restarted || !mUp || !events.changes().isEmpty();
         mUp = true;
         mEpoch = events.epoch();
-        mNext = events.next();
-        return told ? Optional.of(news.build()) : Optional.empty();
+        mNextEvent = events.next();
+        return changed ? Optional.of(update.build()) : Optional.empty();
     }
 
-    private Optional<CacheNews> onNoAnswer() {
+    private Optional<CacheNews> onPollFailure() {
         if (!mUp) {
             return Optional.empty();
         }
         mUp = false;
         mLog.write(Event.WATCH_LOST, "holder", mHolder);
-        return Optional.of(news().setUp(false).build());
+        return Optional.of(newUpdate().setUp(false).build());
     }
 
-    private Optional<CacheNews> onOutlived() {
+    private Optional<CacheNews> onSuperseded() {
         if (!mUp && mEpoch == 0) {
             return Optional.empty();
         }
         mUp = false;
         mEpoch = 0;
-        mNext = 0;
+        mNextEvent = 0;
         logResync(true, false);
-        return Optional.of(news().setUp(false).setRestarted(true).build());
+        return Optional.of(newUpdate().setUp(false).setRestarted(true).build());
     }
 
     private void logResync(boolean restarted, boolean gap) {
         mLog.write(Event.INDEX_RESYNCED, "holder", mHolder, "restarted", restarted, "gap", gap);
     }
 
-    private CacheNews.Builder news() {
+    private CacheNews.Builder newUpdate() {
         return CacheNews.newBuilder().setHolder(mHolder);
     }
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CacheWatch.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CacheEventWatcher.java
@@ -38,22 +38,23 @@
  * answer is asked again, and all instances hear of it: they avoid it unless they hear it
  * themselves. What an engine kept is believed lost only if it says that it has restarted.
  */
-final class CacheWatch {
-    private static final long RETRY_MILLIS = 400;
+final class CacheEventWatcher {
+    private static final long RETRY_DELAY_MILLIS = 400;
 
-    private final EngineClient mEngines;
+    private final EngineClient mEngineClient;
     private final NettyLoop mLoop;
     private final EventLog mLog;
-    private final Consumer<CacheNews> mTell;
-    private final Map<String, CacheReader> mReaders = new HashMap<>();
+    private final Consumer<CacheNews> mPublish;
+    private final Map<String, CacheEventReader> mReaders = new HashMap<>();
     private Map<String, Service> mServices = Map.of();
     private boolean mLeads;
 
-    CacheWatch(EngineClient engines, NettyLoop loop, EventLog log, Consumer<CacheNews> tell) {
-        mEngines = engines;
+    CacheEventWatcher(
+            EngineClient engineClient, NettyLoop loop, EventLog log, Consumer<CacheNews> publish) {
+        mEngineClient = engineClient;
         mLoop = loop;
         mLog = log;
-        mTell = tell;
+        mPublish = publish;
     }
 
     /** Takes the services: which have engines, and which are stores. */
@@ -70,11 +71,11 @@
             mReaders.clear();
             return;
         }
-        Set<String> wanted = new HashSet<>();
+        Set<String> watched = new HashSet<>();
         for (TargetReport target : targets) {
             Service service = mServices.get(target.service());
             if (service != null && service.engineSpec().isPresent()) {
-                wanted.add(target.key());
+                watched.add(target.key());
                 watch(target.key(), target.address());
             }
         }
@@ -82,49 +83,49 @@
             service.kvStore()
                     .ifPresent(
                             store -> {
-                                wanted.add(store.address());
+                                watched.add(store.address());
                                 watch(store.address(), store.address());
                             });
         }
-        mReaders.keySet().retainAll(wanted);
+        mReaders.keySet().retainAll(watched);
     }
 
     /** Returns the holders that don't answer just now. */
-    Set<String> silent() {
-        Set<String> silent = new HashSet<>();
+    Set<String> unresponsive() {
+        Set<String> unresponsive = new HashSet<>();
         mReaders.values().stream()
                 .filter(reader -> !reader.isUp())
-                .forEach(reader -> silent.add(reader.holder()));
-        return silent;
+                .forEach(reader -> unresponsive.add(reader.holder()));
+        return unresponsive;
     }
 
     private void watch(String holder, String address) {
         if (!mReaders.containsKey(holder)) {
-            CacheReader reader = new CacheReader(holder, address, mLog);
+            CacheEventReader reader = new CacheEventReader(holder, address, mLog);
             mReaders.put(holder, reader);
-            ask(reader);
+            poll(reader);
         }
     }
 
-    private void ask(CacheReader reader) {
+    private void poll(CacheEventReader reader) {
         if (!mLeads || mReaders.get(reader.holder()) != reader) {
             return;
         }
-        mEngines.pollCacheEvents(
+        mEngineClient.pollCacheEvents(
                 reader.address(),
-                reader.next(),
-                events -> mLoop.execute(() -> onAnswer(reader, events)));
+                reader.nextEvent(),
+                events -> mLoop.execute(() -> onPollResult(reader, events)));
     }
 
-    private void onAnswer(CacheReader reader, Optional<CacheEvents> answer) {
+    private void onPollResult(CacheEventReader reader, Optional<CacheEvents> events) {
         if (!mLeads || mReaders.get(reader.holder()) != reader) {
             return;
         }
-        reader.onAnswer(answer).ifPresent(mTell);
-        if (reader.wasAnswered()) {
-            ask(reader);
+        reader.onPollResult(events).ifPresent(mPublish);
+        if (reader.lastPollSucceeded()) {
+            poll(reader);
         } else {
-            mLoop.schedule(RETRY_MILLIS, () -> ask(reader));
+            mLoop.schedule(RETRY_DELAY_MILLIS, () -> poll(reader));
         }
     }
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CacheMirror.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CacheInventory.java
@@ -31,40 +31,41 @@
  * started, and so that others are told only what is new to them. Of an engine that has started
  * again nothing is kept that an earlier incarnation kept.
  */
-final class CacheMirror {
+final class CacheInventory {
     /** More parts than any engine of today's sites keeps; the oldest are forgotten beyond. */
-    private static final int MAX_PARTS = 8192;
+    private static final int MAX_BLOCKS_PER_HOLDER = 8192;
 
-    private final LatestIncarnations mLatest = LatestIncarnations.create();
-    private final Map<String, Holder> mHolders = new HashMap<>();
+    private final LatestIncarnations mLatestIncarnations = LatestIncarnations.create();
+    private final Map<String, CachedBlocks> mHolders = new HashMap<>();
 
     /** Takes news; returns what of them is new. */
-    Optional<CacheNews> apply(CacheNews news) {
-        if (!onHolder(news.getHolder())) {
+    Optional<CacheNews> apply(CacheNews update) {
+        if (!observeHolder(update.getHolder())) {
             return Optional.empty();
         }
-        Holder holder = mHolders.computeIfAbsent(news.getHolder(), id -> new Holder());
+        CachedBlocks holder =
+                mHolders.computeIfAbsent(update.getHolder(), id -> new CachedBlocks());
         CacheNews.Builder out =
                 CacheNews.newBuilder()
-                        .setHolder(news.getHolder())
-                        .setUp(news.getUp())
-                        .setRestarted(news.getRestarted());
-        boolean changed = holder.mUp != news.getUp() || news.getRestarted();
-        holder.mUp = news.getUp();
-        if (news.getRestarted()) {
-            holder.mParts.clear();
+                        .setHolder(update.getHolder())
+                        .setUp(update.getUp())
+                        .setRestarted(update.getRestarted());
+        boolean changed = holder.mUp != update.getUp() || update.getRestarted();
+        holder.mUp = update.getUp();
+        if (update.getRestarted()) {
+            holder.mBlockKeys.clear();
         }
-        if (news.getWhole()) {
-            Set<Long> gone = new LinkedHashSet<>(holder.mParts);
-            news.getAddedList().forEach(gone::remove);
-            holder.mParts.removeAll(gone);
-            out.addAllRemoved(gone);
+        if (update.getWhole()) {
+            Set<Long> removed = new LinkedHashSet<>(holder.mBlockKeys);
+            update.getAddedList().forEach(removed::remove);
+            holder.mBlockKeys.removeAll(removed);
+            out.addAllRemoved(removed);
         }
-        news.getRemovedList().stream().filter(holder.mParts::remove).forEach(out::addRemoved);
-        news.getAddedList().stream().filter(holder.mParts::add).forEach(out::addAdded);
+        update.getRemovedList().stream().filter(holder.mBlockKeys::remove).forEach(out::addRemoved);
+        update.getAddedList().stream().filter(holder.mBlockKeys::add).forEach(out::addAdded);
         holder.trim();
-        boolean told = changed || out.getAddedCount() + out.getRemovedCount() > 0;
-        return told ? Optional.of(out.build()) : Optional.empty();
+        boolean hasEffect = changed || out.getAddedCount() + out.getRemovedCount() > 0;
+        return hasEffect ? Optional.of(out.build()) : Optional.empty();
     }
 
     /**
@@ -72,40 +73,40 @@
      *
      * @return whether it is the latest of its id
      */
-    boolean onHolder(String id) {
+    boolean observeHolder(String id) {
         Incarnation incarnation = Incarnation.ofKey(id);
-        mLatest.observe(incarnation).map(Incarnation::key).ifPresent(mHolders::remove);
-        return !mLatest.isSuperseded(incarnation);
+        mLatestIncarnations.observe(incarnation).map(Incarnation::key).ifPresent(mHolders::remove);
+        return !mLatestIncarnations.isSuperseded(incarnation);
     }
 
     /** Forgets a holder that is gone, and its earlier incarnations. */
-    void forget(String id) {
-        onHolder(id);
+    void remove(String id) {
+        observeHolder(id);
         mHolders.remove(id);
     }
 
     /** Returns all of it, a message for each holder. */
-    List<CacheNews> whole() {
-        List<CacheNews> all = new ArrayList<>();
+    List<CacheNews> snapshot() {
+        List<CacheNews> updates = new ArrayList<>();
         mHolders.forEach(
                 (id, holder) ->
-                        all.add(
+                        updates.add(
                                 CacheNews.newBuilder()
                                         .setHolder(id)
                                         .setUp(holder.mUp)
                                         .setWhole(true)
-                                        .addAllAdded(holder.mParts)
+                                        .addAllAdded(holder.mBlockKeys)
                                         .build()));
-        return all;
+        return updates;
     }
 
-    private static final class Holder {
-        final Set<Long> mParts = new LinkedHashSet<>();
+    private static final class CachedBlocks {
+        final Set<Long> mBlockKeys = new LinkedHashSet<>();
         boolean mUp = true;
 
         void trim() {
-            while (mParts.size() > MAX_PARTS) {
-                mParts.remove(mParts.iterator().next());
+            while (mBlockKeys.size() > MAX_BLOCKS_PER_HOLDER) {
+                mBlockKeys.remove(mBlockKeys.iterator().next());
             }
         }
     }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CacheBatch.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CacheUpdateBatch.java
@@ -26,27 +26,27 @@
  * <p>An entry pays for each frame that it is told, so their number must not grow with the engines:
  * told one by one, 56 engines at 170 prompts a second make some 200 a second at each entry.
  */
-final class CacheBatch {
-    private Caches.Builder mWaiting = Caches.newBuilder();
-    private long mTakenAt = Long.MIN_VALUE / 2;
+final class CacheUpdateBatch {
+    private Caches.Builder mPending = Caches.newBuilder();
+    private long mLastTakenAt = Long.MIN_VALUE / 2;
 
     /** Adds what waits for the next batch. */
-    void add(CacheNews news) {
-        mWaiting.addCaches(news);
+    void add(CacheNews update) {
+        mPending.addCaches(update);
     }
 
     /**
      * Takes all that waits, if there is anything and {@link TellingRates#newsMillis} have passed
      * since the last time.
      */
-    Optional<Caches> take(long now) {
-        boolean early = now - mTakenAt < TellingRates.newsMillis();
-        if (early || mWaiting.getCachesCount() == 0) {
+    Optional<Caches> takeDue(long now) {
+        boolean tooEarly = now - mLastTakenAt < TellingRates.newsMillis();
+        if (tooEarly || mPending.getCachesCount() == 0) {
             return Optional.empty();
         }
-        mTakenAt = now;
-        Caches batch = mWaiting.build();
-        mWaiting = Caches.newBuilder();
+        mLastTakenAt = now;
+        Caches batch = mPending.build();
+        mPending = Caches.newBuilder();
         return Optional.of(batch);
     }
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/ControlNode.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/ControlNode.java
@@ -61,16 +61,16 @@
     /** Replicas some milliseconds apart on processors that may pause: times of Raft. */
     private static final long HEARTBEAT_MILLIS = 80;
 
-    private static final long ELECTION_MILLIS = 450;
-    private static final long LEASE_MILLIS = 220;
+    private static final long ELECTION_TIMEOUT_MILLIS = 450;
+    private static final long LEADER_LEASE_MILLIS = 220;
 
     private static final long TICK_MILLIS = 50;
 
     /** An engine of today's sites reads one or two long prompts within this time. */
-    private static final long SAVE_CACHES_MILLIS = 300;
+    private static final long CACHE_SAVE_INTERVAL_MILLIS = 300;
 
     /** A process that hasn't heard a leader for this long can't say that a target is silent. */
-    private static final long OUT_OF_TOUCH_MILLIS = 1500;
+    private static final long LEADER_CONTACT_TIMEOUT_MILLIS = 1500;
 
     private final NettyLoop mLoop;
     private final LongSupplier mClock;
@@ -78,24 +78,24 @@
     private final String mAddress;
     private final Peers mPeers;
     private final EntrySessions mEntries;
-    private final FleetMachine mMachine;
-    private final Group mGroup;
-    private final Confirmations mConfirmations;
+    private final FleetStateMachine mStateMachine;
+    private final ReplicaGroup mGroup;
+    private final ReadConfirmations mReadConfirmations;
     private final Proposals mProposals;
-    private final RestartMemory mMemory;
-    private final Deliveries mDeliveries;
-    private final TargetSpread mTargets;
-    private final CrashSpread mCrashes;
-    private final LimitSpread mLimits;
-    private final MembershipKeeper mMembership;
-    private final WeightsKeeper mWeights;
-    private final CacheWatch mCaches;
-    private final CacheBatch mNews = new CacheBatch();
+    private final WarmStartData mWarmStart;
+    private final AckedBroadcasts mBroadcasts;
+    private final TargetReplication mTargets;
+    private final CrashReplication mCrashes;
+    private final LimitReplication mLimits;
+    private final MembershipManager mMembership;
+    private final WeightsController mWeights;
+    private final CacheEventWatcher mCacheWatcher;
+    private final CacheUpdateBatch mCacheUpdates = new CacheUpdateBatch();
     private final ControlDialect mDialect;
-    private final int mNeededVoters;
+    private final int mRequiredVoters;
     private volatile Set<String> mSeeds;
     private long mCachesSavedAt;
-    private boolean mTellPosted;
+    private boolean mPublishScheduled;
     private boolean mStopped;
 
     private ControlNode(
@@ -103,30 +103,30 @@
             NettyLoop loop,
             LongSupplier clock,
             EventLog log,
-            EngineClient orders,
+            EngineClient engineClient,
             ControlDialect dialect,
-            RefusalLog refused,
+            RefusalLog rejectedReports,
             long startedAt)
             throws QuilldykeException {
         mLoop = loop;
         mClock = clock;
         mLog = log;
         mAddress = settings.internalAddress(settings.ip());
-        mNeededVoters = 2 * settings.toleratedLosses() + 1;
+        mRequiredVoters = 2 * settings.toleratedLosses() + 1;
         mSeeds = new HashSet<>(settings.seedAddresses());
         mPeers = Peers.create(loop, clock, log, mAddress);
         mEntries = new EntrySessions(clock, log, mPeers, settings.failureDomain());
-        mMachine = new FleetMachine(this::onState);
+        mStateMachine = new FleetStateMachine(this::onState);
         SplittableRandom random = new SplittableRandom(System.nanoTime() ^ mAddress.hashCode());
         DataFolder folder = DataFolder.open(Path.of(settings.dataFolder()));
-        mMemory = RestartMemory.in(folder, loop, log, refused, mAddress);
+        mWarmStart = WarmStartData.open(folder, loop, log, rejectedReports, mAddress);
         ReplicaIdentity.Opened opened =
                 ReplicaIdentity.open(folder, settings, mAddress, random, log);
-        mGroup = new Group(opened.identity().id(), mPeers);
+        mGroup = new ReplicaGroup(opened.identity().id(), mPeers);
         Replica replica =
                 Replica.restore(
                         settingsOf(opened.identity(), settings.toleratedLosses()),
-                        opened.disk(),
+                        opened.durableState(),
                         random,
                         startedAt,
                         clock.getAsLong());
@@ -134,47 +134,50 @@
                 ReplicaNode.of(
                         new ReplicaNode.Environment(loop, clock, log),
                         folder,
-                        opened.disk(),
+                        opened.durableState(),
                         replica,
-                        mMachine,
-                        mGroup::deliver,
+                        mStateMachine,
+                        mGroup::send,
                         this);
-        mGroup.onNode(node);
-        mConfirmations = new Confirmations(mGroup, mPeers, clock);
+        mGroup.setNode(node);
+        mReadConfirmations = new ReadConfirmations(mGroup, mPeers, clock);
         mProposals = new Proposals(mGroup, mPeers, loop, clock);
-        mDeliveries = new Deliveries(mPeers::sendToAll, clock, settings.toleratedLosses());
-        mTargets = spread(settings.timings().targetReport(), refused);
-        mCrashes = new CrashSpread(mPeers::sendToAll, mEntries::onCrashes, clock, log, mMemory);
-        mLimits = new LimitSpread(mPeers::sendToAll, mEntries::onLimits, clock);
-        mEntries.connect(mConfirmations::ask, mTargets, mCrashes, mLimits);
+        mBroadcasts = new AckedBroadcasts(mPeers::sendToAll, clock, settings.toleratedLosses());
+        mTargets = createTargetReplication(settings.timings().targetReport(), rejectedReports);
+        mCrashes =
+                new CrashReplication(
+                        mPeers::sendToAll, mEntries::onCrashes, clock, log, mWarmStart);
+        mLimits = new LimitReplication(mPeers::sendToAll, mEntries::onLimits, clock);
+        mEntries.connect(mReadConfirmations::confirm, mTargets, mCrashes, mLimits);
         mMembership =
-                new MembershipKeeper(mGroup, mPeers, mAddress, clock, settings.toleratedLosses());
+                new MembershipManager(mGroup, mPeers, mAddress, clock, settings.toleratedLosses());
         mWeights =
-                new WeightsKeeper(
-                        new WeightsKeeper.Parts(
+                new WeightsController(
+                        new WeightsController.Dependencies(
                                 mGroup,
                                 mProposals,
                                 mTargets,
-                                orders,
+                                engineClient,
                                 loop,
                                 clock,
                                 log,
-                                this::tellLoading,
+                                this::publishLoading,
                                 settings.timings().orderLease()));
         mDialect = dialect;
-        mCaches = new CacheWatch(orders, loop, log, mNews::add);
-        onState(mMachine.state());
+        mCacheWatcher = new CacheEventWatcher(engineClient, loop, log, mCacheUpdates::add);
+        onState(mStateMachine.state());
     }
 
-    private TargetSpread spread(long reportMillis, RefusalLog refused) {
-        return new TargetSpread(
+    private TargetReplication createTargetReplication(
+            long reportMillis, RefusalLog rejectedReports) {
+        return new TargetReplication(
                 mPeers::sendToAll,
-                mDeliveries,
+                mBroadcasts,
                 mEntries::onTargets,
                 mClock,
                 mLog,
-                mMemory,
-                refused,
+                mWarmStart,
+                rejectedReports,
                 reportMillis);
     }
 
@@ -185,9 +188,9 @@
      * @param loop the control thread
      * @param clock monotonic milliseconds
      * @param log where events go
-     * @param orders speaks to engines
+     * @param engineClient speaks to engines
      * @param dialect reads manifests
-     * @param refused takes notice of what can't be taken of what others say of targets
+     * @param rejectedReports takes notice of what can't be taken of what others say of targets
      * @param startedAt when the process began
      * @throws QuilldykeException if the data folder can't be read
      */
@@ -196,13 +199,21 @@
             NettyLoop loop,
             LongSupplier clock,
             EventLog log,
-            EngineClient orders,
+            EngineClient engineClient,
             ControlDialect dialect,
-            RefusalLog refused,
+            RefusalLog rejectedReports,
             long startedAt)
             throws QuilldykeException {
         ControlNode node =
-                new ControlNode(settings, loop, clock, log, orders, dialect, refused, startedAt);
+                new ControlNode(
+                        settings,
+                        loop,
+                        clock,
+                        log,
+                        engineClient,
+                        dialect,
+                        rejectedReports,
+                        startedAt);
         node.mLog.write(
                 Event.IDENTITY,
                 "id",
@@ -211,8 +222,8 @@
                 node.mGroup.node().replica().membership().all().size(),
                 "last",
                 node.mGroup.node().replica().lastIndex());
-        node.mPeers.onUp(node::onPeerUp);
-        node.mEntries.onCaches(node.mMemory.caches());
+        node.mPeers.onUp(node::onPeerConnected);
+        node.mEntries.onCacheUpdates(node.mWarmStart.caches());
         node.mGroup.node().start();
         node.tick();
         return node;
@@ -220,8 +231,8 @@
 
     /** Returns how a replica of this fleet takes part. */
     static ReplicaSettings settingsOf(ReplicaIdentity identity, int toleratedLosses) {
-        return ReplicaSettings.of(identity.id(), identity.initial())
-                .withTimes(HEARTBEAT_MILLIS, ELECTION_MILLIS, LEASE_MILLIS)
+        return ReplicaSettings.of(identity.id(), identity.initialMembership())
+                .withTimes(HEARTBEAT_MILLIS, ELECTION_TIMEOUT_MILLIS, LEADER_LEASE_MILLIS)
                 .withToleratedLosses(toleratedLosses);
     }
 
@@ -231,7 +242,7 @@
     }
 
     /** Hands leadership on and waits for nothing. */
-    public void leave() {
+    public void transferLeadership() {
         mGroup.node().transferLeadership();
     }
 
@@ -239,13 +250,13 @@
     public void stop() throws QuilldykeException {
         mStopped = true;
         mPeers.close();
-        mMemory.close();
+        mWarmStart.close();
         mGroup.node().stop();
     }
 
     /** Publishes a manifest; completes when it, or a newer one, is committed. */
     public CompletableFuture<Void> publish(long version, byte[] document) {
-        if (mMachine.state().version() >= version) {
+        if (mStateMachine.state().version() >= version) {
             return CompletableFuture.completedFuture(null);
         }
         byte[] compressed = Compression.compress(document);
@@ -267,7 +278,7 @@
 
     /** Names weights; completes when they, or newer ones, are committed. */
     public CompletableFuture<Void> nameWeights(String model, long version) {
-        if (mMachine.state().weights().getOrDefault(model, 0L) >= version) {
+        if (mStateMachine.state().weights().getOrDefault(model, 0L) >= version) {
             return CompletableFuture.completedFuture(null);
         }
         return mProposals
@@ -285,11 +296,11 @@
     }
 
     /** Returns the newest manifest as its operator wrote it, once that is sure. */
-    public CompletableFuture<byte[]> read() {
+    public CompletableFuture<byte[]> readManifest() {
         CompletableFuture<byte[]> result = new CompletableFuture<>();
-        mConfirmations.ask(
+        mReadConfirmations.confirm(
                 confirmed -> {
-                    FleetState state = mMachine.state();
+                    FleetState state = mStateMachine.state();
                     if (!confirmed || !state.hasManifest()) {
                         result.completeExceptionally(
                                 QuilldykeException.notRun(ResultCode.READ_UNCONFIRMED, ""));
@@ -313,19 +324,19 @@
      */
     public CompletableFuture<Boolean> onReport(ControlCall.Report call) throws QuilldykeException {
         return mTargets.onReport(call.report(), call.tellsWeights())
-                .thenApply(taken -> taken && isInTouch());
+                .thenApply(delivered -> delivered && hasRecentLeader());
     }
 
     /** Takes the news that a target is gone; returns whether it may be acknowledged. */
     public CompletableFuture<Boolean> onLeave(String target) {
-        return mTargets.onLeave(target).thenApply(taken -> taken && isInTouch());
+        return mTargets.onLeave(target).thenApply(delivered -> delivered && hasRecentLeader());
     }
 
     /** Returns whether a leader was heard lately. */
-    public boolean isInTouch() {
+    public boolean hasRecentLeader() {
         long seenAt = mGroup.node().leaderSeenAt();
         return !mGroup.node().leader().isEmpty()
-                && mClock.getAsLong() - seenAt < OUT_OF_TOUCH_MILLIS;
+                && mClock.getAsLong() - seenAt < LEADER_CONTACT_TIMEOUT_MILLIS;
     }
 
     @Override
@@ -338,15 +349,15 @@
             case JOIN -> mMembership.onJoin(frame.getJoin());
             case PROPOSAL -> mProposals.onProposal(frame.getAddress(), frame.getProposal());
             case RESULT -> mProposals.onResult(frame.getResult());
-            case CONFIRM -> mConfirmations.onConfirm(frame.getAddress(), frame.getConfirm());
-            case CONFIRMED -> mConfirmations.onConfirmed(frame.getConfirmed());
+            case CONFIRM -> mReadConfirmations.onConfirm(frame.getAddress(), frame.getConfirm());
+            case CONFIRMED -> mReadConfirmations.onConfirmed(frame.getConfirmed());
             case TARGETS -> onTargets(frame.getAddress(), frame.getTargets());
-            case TAKEN -> mDeliveries.onTaken(frame.getAddress(), frame.getTaken().getNumber());
+            case TAKEN -> mBroadcasts.onAck(frame.getAddress(), frame.getTaken().getNumber());
             case LOADING -> onLoading(frame.getLoading());
             case LOADS -> mEntries.onLoads(frame.getAddress(), frame.getLoads());
-            case CRASHES -> mCrashes.onPeerNews(frame.getCrashes());
-            case LIMITS -> mLimits.onPeerNews(frame.getLimits());
-            case CACHES -> mEntries.onCaches(frame.getCaches().getCachesList());
+            case CRASHES -> mCrashes.onPeerReport(frame.getCrashes());
+            case LIMITS -> mLimits.onPeerReport(frame.getLimits());
+            case CACHES -> mEntries.onCacheUpdates(frame.getCaches().getCachesList());
             default -> {
                 // A sign of life.
             }
@@ -364,7 +375,7 @@
         mWeights.onLeadership(leads);
         if (leads) {
             // From now on others hear of changes only.
-            mEntries.caches().forEach(mNews::add);
+            mEntries.cacheContents().forEach(mCacheUpdates::add);
         }
     }
 
@@ -377,13 +388,13 @@
                 "standbys",
                 membership.standbys().stream().map(Membership.Member::id).toList(),
                 "needed",
-                mNeededVoters);
+                mRequiredVoters);
     }
 
     private void onTargets(String from, Targets targets) {
         mTargets.onTargets(targets);
         if (targets.getNumber() != 0) {
-            mPeers.send(from, Deliveries.taken(targets.getNumber()));
+            mPeers.send(from, AckedBroadcasts.ackFrame(targets.getNumber()));
         }
     }
 
@@ -393,9 +404,9 @@
         }
         try {
             PeerMessage message = Wire.decode(frame.getReplica());
-            mGroup.onHeard(frame.getReplica().getFrom(), frame.getAddress());
+            mGroup.learnAddress(frame.getReplica().getFrom(), frame.getAddress());
             mGroup.node().receive(frame.getReplica().getFrom(), message);
-            mLoop.execute(mConfirmations::advance);
+            mLoop.execute(mReadConfirmations::advance);
         } catch (QuilldykeException e) {
             mLog.write(Event.INVARIANT, "from", frame.getAddress(), "detail", e.getMessage());
         }
@@ -411,47 +422,50 @@
         mEntries.onLoading(loading);
     }
 
-    private void tellLoading(Loading loading) {
+    private void publishLoading(Loading loading) {
         mPeers.sendToAll(PeerFrame.newBuilder().setLoading(loading));
         mEntries.onLoading(loading);
     }
 
-    private void onPeerUp(String address) {
-        mPeers.send(address, PeerFrame.newBuilder().setTargets(mTargets.heard()));
-        mPeers.send(address, PeerFrame.newBuilder().setLimits(mLimits.all()));
-        mCrashes.all()
-                .ifPresent(all -> mPeers.send(address, PeerFrame.newBuilder().setCrashes(all)));
+    private void onPeerConnected(String address) {
+        mPeers.send(address, PeerFrame.newBuilder().setTargets(mTargets.snapshotForPeers()));
+        mPeers.send(address, PeerFrame.newBuilder().setLimits(mLimits.snapshot()));
+        mCrashes.snapshotForPeers()
+                .ifPresent(
+                        crashes ->
+                                mPeers.send(address, PeerFrame.newBuilder().setCrashes(crashes)));
     }
 
     /** Tells all what caches changed since the last time. */
-    private void tellCaches() {
-        mNews.take(mClock.getAsLong())
+    private void publishCacheUpdates() {
+        mCacheUpdates
+                .takeDue(mClock.getAsLong())
                 .ifPresent(
-                        news -> {
-                            mPeers.sendToAll(PeerFrame.newBuilder().setCaches(news));
-                            mEntries.onCaches(news.getCachesList());
+                        updates -> {
+                            mPeers.sendToAll(PeerFrame.newBuilder().setCaches(updates));
+                            mEntries.onCacheUpdates(updates.getCachesList());
                         });
     }
 
     private void onState(FleetState state) {
         mEntries.onState(state);
-        if (!mTellPosted) {
-            mTellPosted = true;
-            mLoop.execute(this::tellState);
+        if (!mPublishScheduled) {
+            mPublishScheduled = true;
+            mLoop.execute(this::publishState);
         }
     }
 
     /** Once for all changes that the log makes in one go. */
-    private void tellState() {
-        mTellPosted = false;
-        mEntries.tellState();
-        FleetState state = mMachine.state();
+    private void publishState() {
+        mPublishScheduled = false;
+        mEntries.publishState();
+        FleetState state = mStateMachine.state();
         if (!state.hasManifest()) {
             return;
         }
         try {
             Manifest manifest = mDialect.readManifest(Compression.expand(state.document()));
-            mCaches.onManifest(manifest);
+            mCacheWatcher.onManifest(manifest);
             mTargets.onServices(
                     manifest.services().stream().map(Service::name).collect(Collectors.toSet()));
         } catch (QuilldykeException e) {
@@ -464,20 +478,20 @@
             return;
         }
         mLoop.schedule(TICK_MILLIS, this::tick);
-        mConfirmations.advance();
+        mReadConfirmations.advance();
         mMembership.tick(mSeeds);
-        mTargets.tick(isInTouch());
+        mTargets.tick(hasRecentLeader());
         mCrashes.tick();
         mEntries.tick();
-        tellCaches();
+        publishCacheUpdates();
         List<TargetReport> targets = mTargets.reports();
-        mCaches.tick(mGroup.leads(), targets);
-        if (mClock.getAsLong() - mCachesSavedAt >= SAVE_CACHES_MILLIS) {
+        mCacheWatcher.tick(mGroup.leads(), targets);
+        if (mClock.getAsLong() - mCachesSavedAt >= CACHE_SAVE_INTERVAL_MILLIS) {
             mCachesSavedAt = mClock.getAsLong();
-            mMemory.saveCaches(mEntries.caches());
+            mWarmStart.saveCaches(mEntries.cacheContents());
         }
         mWeights.tick(
-                mMachine.state().weights(),
-                new EngineFleet(targets, mCaches.silent(), mEntries.openRequests()));
+                mStateMachine.state().weights(),
+                new EngineFleet(targets, mCacheWatcher.unresponsive(), mEntries.openRequests()));
     }
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CrashSpread.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CrashReplication.java
@@ -36,93 +36,94 @@
  * <p>Entries tell of the crashes that they have seen. Control processes hand that on to each other,
  * so that all conclude the same, and tell entries what follows.
  */
-final class CrashSpread {
-    private final PoisonRequestDetector mLedger = PoisonRequestDetector.create();
-    private final Consumer<PeerFrame.Builder> mPeers;
-    private final Consumer<CrashNews> mEntries;
+final class CrashReplication {
+    private final PoisonRequestDetector mDetector = PoisonRequestDetector.create();
+    private final Consumer<PeerFrame.Builder> mToPeers;
+    private final Consumer<CrashNews> mToEntries;
     private final LongSupplier mClock;
     private final EventLog mLog;
-    private final RestartMemory mMemory;
-    private boolean mToSave;
+    private final WarmStartData mWarmStart;
+    private boolean mSaveNeeded;
 
-    CrashSpread(
-            Consumer<PeerFrame.Builder> peers,
-            Consumer<CrashNews> entries,
+    CrashReplication(
+            Consumer<PeerFrame.Builder> toPeers,
+            Consumer<CrashNews> toEntries,
             LongSupplier clock,
             EventLog log,
-            RestartMemory memory) {
-        mPeers = peers;
-        mEntries = entries;
+            WarmStartData warmStart) {
+        mToPeers = toPeers;
+        mToEntries = toEntries;
         mClock = clock;
         mLog = log;
-        mMemory = memory;
-        take(memory.crashes()).ifPresent(news -> conclude());
+        mWarmStart = warmStart;
+        apply(warmStart.crashes()).ifPresent(changes -> evaluate());
     }
 
     /** Takes what an entry has seen, and hands on what is news. */
-    void onEntryNews(CrashNews told) {
-        take(told)
+    void onEntryReport(CrashNews report) {
+        apply(report)
                 .ifPresent(
-                        news -> {
-                            mPeers.accept(PeerFrame.newBuilder().setCrashes(news));
-                            conclude();
+                        changes -> {
+                            mToPeers.accept(PeerFrame.newBuilder().setCrashes(changes));
+                            evaluate();
                         });
     }
 
     /** Takes what another control process knows. */
-    void onPeerNews(CrashNews told) {
-        take(told).ifPresent(news -> conclude());
+    void onPeerReport(CrashNews report) {
+        apply(report).ifPresent(changes -> evaluate());
     }
 
     /** Returns all that is known, for other control processes; nothing if nothing is. */
-    Optional<CrashNews> all() {
-        return unlessEmpty(CrashFrames.encode(mLedger, mClock.getAsLong()));
+    Optional<CrashNews> snapshotForPeers() {
+        return unlessEmpty(CrashFrames.encode(mDetector, mClock.getAsLong()));
     }
 
     /** Returns what follows for entries. */
-    CrashNews conclusions() {
-        return encode(mLedger.suspects());
+    CrashNews suspects() {
+        return encode(mDetector.suspects());
     }
 
     /** Stores what is known, if that has changed. */
     void tick() {
-        if (mToSave) {
-            mToSave = !mMemory.saveCrashes(CrashFrames.encode(mLedger, mClock.getAsLong()));
+        if (mSaveNeeded) {
+            mSaveNeeded =
+                    !mWarmStart.saveCrashes(CrashFrames.encode(mDetector, mClock.getAsLong()));
         }
     }
 
     /** Takes news; returns what of them wasn't known, nothing if all was. */
-    private Optional<CrashNews> take(CrashNews told) {
+    private Optional<CrashNews> apply(CrashNews report) {
         long now = mClock.getAsLong();
-        CrashNews.Builder news = CrashNews.newBuilder();
-        for (Crash crash : told.getCrashesList()) {
-            if (mLedger.onCrash(CrashFrames.decode(crash, now))) {
-                news.addCrashes(crash);
+        CrashNews.Builder changes = CrashNews.newBuilder();
+        for (Crash crash : report.getCrashesList()) {
+            if (mDetector.onCrash(CrashFrames.decode(crash, now))) {
+                changes.addCrashes(crash);
             }
         }
-        for (Completion completion : told.getCompletionsList()) {
+        for (Completion completion : report.getCompletionsList()) {
             RequestFingerprint request = CrashFrames.decode(completion.getRequest());
-            if (mLedger.onCompleted(request, now - completion.getAgeMs())) {
-                news.addCompletions(completion);
+            if (mDetector.onCompleted(request, now - completion.getAgeMs())) {
+                changes.addCompletions(completion);
             }
         }
-        told.getSuspectsList().stream()
-                .filter(suspect -> mLedger.onSuspect(CrashFrames.decode(suspect, now)))
-                .forEach(news::addSuspects);
-        return unlessEmpty(news.build());
+        report.getSuspectsList().stream()
+                .filter(suspect -> mDetector.onSuspect(CrashFrames.decode(suspect, now)))
+                .forEach(changes::addSuspects);
+        return unlessEmpty(changes.build());
     }
 
-    private static Optional<CrashNews> unlessEmpty(CrashNews news) {
-        boolean isEmpty = news.equals(CrashNews.getDefaultInstance());
-        return isEmpty ? Optional.empty() : Optional.of(news);
+    private static Optional<CrashNews> unlessEmpty(CrashNews report) {
+        boolean isEmpty = report.equals(CrashNews.getDefaultInstance());
+        return isEmpty ? Optional.empty() : Optional.of(report);
     }
 
-    private void conclude() {
-        mToSave = true;
-        List<Suspect> changes = mLedger.evaluate(mClock.getAsLong());
+    private void evaluate() {
+        mSaveNeeded = true;
+        List<Suspect> changes = mDetector.evaluate(mClock.getAsLong());
         changes.stream().filter(suspect -> suspect.refusals() > 0).forEach(this::log);
         if (!changes.isEmpty()) {
-            mEntries.accept(encode(changes));
+            mToEntries.accept(encode(changes));
         }
     }
 
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/EntryLoads.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/EntryLoads.java
@@ -38,53 +38,54 @@
     static final long STALE_MILLIS = 1500;
 
     /** An entry that was silent this long no longer has a part of what is shared. */
-    static final long FORGOTTEN_MILLIS = 20_000;
+    static final long ENTRY_EXPIRY_MILLIS = 20_000;
 
-    private final Map<String, Known> mHere = new HashMap<>();
-    private final Map<String, Known> mOthers = new HashMap<>();
-    private final Map<String, Long> mNamedAt = new HashMap<>();
-    private Map<String, Integer> mPlaces = Map.of();
+    private final Map<String, ReportedLoads> mLocal = new HashMap<>();
+    private final Map<String, ReportedLoads> mRemote = new HashMap<>();
+    private final Map<String, Long> mEntrySeenAt = new HashMap<>();
+    private Map<String, Integer> mRanks = Map.of();
 
     /** Takes what an entry told here. */
     void onLoad(String entry, List<TargetLoad> targets, long now) {
-        mHere.put(entry, new Known(targets, now));
-        onNamed(entry, now);
+        mLocal.put(entry, new ReportedLoads(targets, now));
+        onEntrySeen(entry, now);
     }
 
     /** Notes that what an entry told here last is still so. */
-    void onAlive(String entry, long now) {
-        mHere.computeIfPresent(entry, (id, known) -> new Known(known.targets(), now));
-        onNamed(entry, now);
+    void onKeepAlive(String entry, long now) {
+        mLocal.computeIfPresent(
+                entry, (id, reported) -> new ReportedLoads(reported.targets(), now));
+        onEntrySeen(entry, now);
     }
 
-    private void onNamed(String entry, long now) {
-        if (mNamedAt.put(entry, now) == null) {
-            mPlaces = Map.of();
+    private void onEntrySeen(String entry, long now) {
+        if (mEntrySeenAt.put(entry, now) == null) {
+            mRanks = Map.of();
         }
     }
 
     /** Notes that an entry tells what it has open elsewhere, or has ended. */
-    void onLeft(String entry) {
-        mHere.remove(entry);
+    void removeLocal(String entry) {
+        mLocal.remove(entry);
     }
 
     /** Takes the sums of another control process. */
-    void onOthers(String control, Loads loads, long now) {
-        mOthers.put(control, new Known(loads.getTargetsList(), now));
-        loads.getEntriesList().forEach(entry -> onNamed(entry, now));
+    void onPeerLoads(String control, Loads loads, long now) {
+        mRemote.put(control, new ReportedLoads(loads.getTargetsList(), now));
+        loads.getEntriesList().forEach(entry -> onEntrySeen(entry, now));
     }
 
     /** Returns the sums of what entries have told here lately. */
-    List<TargetLoad> here(long now) {
-        return listOf(sums(mHere.values(), now));
+    List<TargetLoad> localLoads(long now) {
+        return listOf(sums(mLocal.values(), now));
     }
 
     /** Returns the entries that have told something here lately. */
-    Set<String> entriesHere(long now) {
+    Set<String> localEntries(long now) {
         Set<String> entries = new HashSet<>();
-        mHere.forEach(
-                (entry, known) -> {
-                    if (known.isFresh(now)) {
+        mLocal.forEach(
+                (entry, reported) -> {
+                    if (reported.isFresh(now)) {
                         entries.add(entry);
                     }
                 });
@@ -92,23 +93,23 @@
     }
 
     /** Returns how many entries there are. */
-    int entries(long now) {
-        if (mNamedAt.values().removeIf(at -> now - at > FORGOTTEN_MILLIS)) {
-            mPlaces = Map.of();
+    int entryCount(long now) {
+        if (mEntrySeenAt.values().removeIf(at -> now - at > ENTRY_EXPIRY_MILLIS)) {
+            mRanks = Map.of();
         }
-        mHere.keySet().retainAll(mNamedAt.keySet());
-        return mNamedAt.size();
+        mLocal.keySet().retainAll(mEntrySeenAt.keySet());
+        return mEntrySeenAt.size();
     }
 
     /** Returns an entry's place among all by name, from 1 on; 0 if it isn't known. */
-    int place(String entry) {
-        if (mPlaces.isEmpty()) {
-            mPlaces = new HashMap<>();
-            for (String name : new TreeSet<>(mNamedAt.keySet())) {
-                mPlaces.put(name, mPlaces.size() + 1);
+    int rank(String entry) {
+        if (mRanks.isEmpty()) {
+            mRanks = new HashMap<>();
+            for (String name : new TreeSet<>(mEntrySeenAt.keySet())) {
+                mRanks.put(name, mRanks.size() + 1);
             }
         }
-        return mPlaces.getOrDefault(entry, 0);
+        return mRanks.getOrDefault(entry, 0);
     }
 
     /** Returns how many requests all entries have open at each target, as of {@code now}. */
@@ -120,16 +121,17 @@
 
     /** Returns what all entries have open together, as of {@code now}. */
     Totals totals(long now) {
-        Map<String, TargetLoad.Builder> sums = sums(mHere.values(), now);
-        sums(mOthers.values(), now).values().forEach(sum -> add(sums, sum.build(), 1));
+        Map<String, TargetLoad.Builder> sums = sums(mLocal.values(), now);
+        sums(mRemote.values(), now).values().forEach(sum -> add(sums, sum.build(), 1));
         return new Totals(sums, now);
     }
 
-    private static Map<String, TargetLoad.Builder> sums(Collection<Known> all, long now) {
+    private static Map<String, TargetLoad.Builder> sums(
+            Collection<ReportedLoads> reports, long now) {
         Map<String, TargetLoad.Builder> sums = new TreeMap<>();
-        all.stream()
-                .filter(known -> known.isFresh(now))
-                .forEach(known -> known.targets().forEach(load -> add(sums, load, 1)));
+        reports.stream()
+                .filter(reported -> reported.isFresh(now))
+                .forEach(reported -> reported.targets().forEach(load -> add(sums, load, 1)));
         return sums;
     }
 
@@ -158,10 +160,10 @@
         }
 
         /** Returns what all entries but one have open, by target. */
-        List<TargetLoad> allBut(String entry) {
+        List<TargetLoad> excluding(String entry) {
             Map<String, TargetLoad.Builder> others = new TreeMap<>();
             mSums.forEach((id, sum) -> others.put(id, sum.clone()));
-            Known own = mHere.get(entry);
+            ReportedLoads own = mLocal.get(entry);
             if (own != null && own.isFresh(mNow)) {
                 own.targets().forEach(load -> add(others, load, -1));
             }
@@ -169,9 +171,9 @@
         }
     }
 
-    private record Known(List<TargetLoad> targets, long at) {
+    private record ReportedLoads(List<TargetLoad> targets, long reportedAt) {
         boolean isFresh(long now) {
-            return now - at < STALE_MILLIS;
+            return now - reportedAt < STALE_MILLIS;
         }
     }
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/EntrySessions.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/EntrySessions.java
@@ -58,28 +58,28 @@
     /** Loads that haven't changed are told this often, so that they don't go stale. */
     private static final long LOADS_REFRESH_MILLIS = 500;
 
-    private static final long SILENT_MILLIS = 3000;
+    private static final long SESSION_TIMEOUT_MILLIS = 3000;
 
     private final LongSupplier mClock;
     private final EventLog mLog;
     private final Peers mPeers;
     private final String mFailureDomain;
     private final EntryLoads mLoads = new EntryLoads();
-    private final CacheMirror mCaches = new CacheMirror();
+    private final CacheInventory mCacheInventory = new CacheInventory();
     private final Set<Session> mSessions = new LinkedHashSet<>();
-    private final Map<String, Long> mNamedAt = new HashMap<>();
+    private final Map<String, Long> mWeightsNamedAt = new HashMap<>();
     private final Map<String, Long> mLoadingSince = new HashMap<>();
     private Consumer<Consumer<Boolean>> mConfirm;
-    private TargetSpread mTargets;
-    private CrashSpread mCrashes;
-    private LimitSpread mLimits;
+    private TargetReplication mTargets;
+    private CrashReplication mCrashes;
+    private LimitReplication mLimits;
     private FleetState mState = FleetState.create();
-    private boolean mStateTold;
-    private long mToldVersion = -1;
-    private long mPeersToldAt;
-    private long mLoadsToldAt;
+    private boolean mStatePublished;
+    private long mPublishedVersion = -1;
+    private long mLoadsSentToPeersAt;
+    private long mLoadsSentToEntriesAt;
     private long mLoadsRefreshedAt;
-    private List<TargetLoad> mLoadsTold = List.of();
+    private List<TargetLoad> mLoadsSentToPeers = List.of();
 
     EntrySessions(LongSupplier clock, EventLog log, Peers peers, String failureDomain) {
         mClock = clock;
@@ -98,59 +98,60 @@
      */
     void connect(
             Consumer<Consumer<Boolean>> confirm,
-            TargetSpread targets,
-            CrashSpread crashes,
-            LimitSpread limits) {
+            TargetReplication targets,
+            CrashReplication crashes,
+            LimitReplication limits) {
         mConfirm = confirm;
         mTargets = targets;
         mCrashes = crashes;
         mLimits = limits;
     }
 
-    /** Takes the state after a change; {@link #tellState} tells it to all. */
+    /** Takes the state after a change; {@link #publishState} tells it to all. */
     void onState(FleetState state) {
         mState = state;
-        mStateTold = false;
+        mStatePublished = false;
         state.weights()
                 .forEach(
                         (model, version) ->
-                                mNamedAt.putIfAbsent(model + " " + version, mClock.getAsLong()));
+                                mWeightsNamedAt.putIfAbsent(
+                                        model + " " + version, mClock.getAsLong()));
     }
 
     /**
      * Tells all the present state if that hasn't been done. Of many changes at once, as after a
      * start, only the last is told.
      */
-    void tellState() {
-        if (mStateTold || !mState.hasManifest()) {
+    void publishState() {
+        if (mStatePublished || !mState.hasManifest()) {
             return;
         }
-        mStateTold = true;
-        boolean newDocument = mState.version() != mToldVersion;
-        mToldVersion = mState.version();
-        tellAll(configuration(newDocument));
+        mStatePublished = true;
+        boolean newDocument = mState.version() != mPublishedVersion;
+        mPublishedVersion = mState.version();
+        sendToAll(configuration(newDocument));
     }
 
     /** Tells targets to all. */
     void onTargets(Targets targets) {
         for (Target target : targets.getTargetsList()) {
             if (target.getStanding() == Target.Standing.GONE) {
-                mCaches.forget(target.getId());
+                mCacheInventory.remove(target.getId());
             } else if (target.getStanding() == Target.Standing.LIVE) {
-                mCaches.onHolder(target.getId());
+                mCacheInventory.observeHolder(target.getId());
             }
         }
-        tellAll(ControlFrame.newBuilder().setTargets(targets).build());
+        sendToAll(ControlFrame.newBuilder().setTargets(targets).build());
     }
 
     /** Tells all what is concluded of requests that may crash targets. */
-    void onCrashes(CrashNews conclusions) {
-        tellAll(ControlFrame.newBuilder().setCrashes(conclusions).build());
+    void onCrashes(CrashNews suspects) {
+        sendToAll(ControlFrame.newBuilder().setCrashes(suspects).build());
     }
 
     /** Tells all what targets say of the requests that they take. */
     void onLimits(Limits limits) {
-        tellAll(ControlFrame.newBuilder().setLimits(limits).build());
+        sendToAll(ControlFrame.newBuilder().setLimits(limits).build());
     }
 
     /** Tells all that an engine is about to load weights, or has done so. */
@@ -160,13 +161,13 @@
         } else {
             mLoadingSince.remove(loading.getTarget());
         }
-        tellAll(ControlFrame.newBuilder().setLoading(loading).build());
+        sendToAll(ControlFrame.newBuilder().setLoading(loading).build());
     }
 
     /** Tells entries that listen mainly here what has changed in caches, in one frame. */
-    void onCaches(List<CacheNews> news) {
+    void onCacheUpdates(List<CacheNews> updates) {
         Caches.Builder changes = Caches.newBuilder();
-        news.forEach(one -> mCaches.apply(one).ifPresent(changes::addCaches));
+        updates.forEach(update -> mCacheInventory.apply(update).ifPresent(changes::addCaches));
         if (changes.getCachesCount() > 0) {
             ControlFrame frame = ControlFrame.newBuilder().setCaches(changes).build();
             mainSessions().forEach(session -> session.send(frame));
@@ -174,13 +175,13 @@
     }
 
     /** Returns all that is known of caches. */
-    List<CacheNews> caches() {
-        return mCaches.whole();
+    List<CacheNews> cacheContents() {
+        return mCacheInventory.snapshot();
     }
 
     /** Takes what entries told at another control process. */
     void onLoads(String control, Loads loads) {
-        mLoads.onOthers(control, loads, mClock.getAsLong());
+        mLoads.onPeerLoads(control, loads, mClock.getAsLong());
     }
 
     /** Returns how many requests all entries have open at each target. */
@@ -191,40 +192,40 @@
     /** Tells all processes what entries have open; ends sessions that are silent. */
     void tick() {
         long now = mClock.getAsLong();
-        if (now - mPeersToldAt >= TellingRates.loadsMillis()) {
-            mPeersToldAt = now;
-            tellPeers(now);
+        if (now - mLoadsSentToPeersAt >= TellingRates.loadsMillis()) {
+            mLoadsSentToPeersAt = now;
+            sendLoadsToPeers(now);
         }
-        if (now - mLoadsToldAt >= TellingRates.othersLoadsMillis(mLoads.entries(now))) {
-            mLoadsToldAt = now;
-            tellLoads(now);
+        if (now - mLoadsSentToEntriesAt >= TellingRates.othersLoadsMillis(mLoads.entryCount(now))) {
+            mLoadsSentToEntriesAt = now;
+            sendLoadsToEntries(now);
         }
         for (Session session : List.copyOf(mSessions)) {
-            if (now - session.mHeardAt > SILENT_MILLIS) {
+            if (now - session.mLastFrameAt > SESSION_TIMEOUT_MILLIS) {
                 session.mOut.onError(Status.UNAVAILABLE.asException());
                 session.onEnd();
             }
         }
     }
 
-    private void tellLoads(long now) {
+    private void sendLoadsToEntries(long now) {
         EntryLoads.Totals totals = mLoads.totals(now);
-        mainSessions().forEach(session -> session.tellLoads(totals.allBut(session.mEntry)));
+        mainSessions().forEach(session -> session.sendLoads(totals.excluding(session.mEntry)));
     }
 
     /** Tells other control processes the sums of what was told here, if they don't know them. */
-    private void tellPeers(long now) {
-        List<TargetLoad> here = mLoads.here(now);
+    private void sendLoadsToPeers(long now) {
+        List<TargetLoad> local = mLoads.localLoads(now);
         boolean refresh = now - mLoadsRefreshedAt >= LOADS_REFRESH_MILLIS;
-        if (here.equals(mLoadsTold) && !refresh) {
+        if (local.equals(mLoadsSentToPeers) && !refresh) {
             return;
         }
-        Loads.Builder loads = Loads.newBuilder().addAllTargets(here);
+        Loads.Builder loads = Loads.newBuilder().addAllTargets(local);
         if (refresh) {
             mLoadsRefreshedAt = now;
-            loads.addAllEntries(mLoads.entriesHere(now));
+            loads.addAllEntries(mLoads.localEntries(now));
         }
-        mLoadsTold = here;
+        mLoadsSentToPeers = local;
         mPeers.sendToAll(PeerFrame.newBuilder().setLoads(loads));
     }
 
@@ -232,7 +233,7 @@
         return mSessions.stream().filter(session -> session.mMain);
     }
 
-    private void tellAll(ControlFrame frame) {
+    private void sendToAll(ControlFrame frame) {
         mSessions.forEach(session -> session.send(frame));
     }
 
@@ -253,23 +254,23 @@
                                         ModelWeights.newBuilder()
                                                 .setModel(model)
                                                 .setVersion(version)
-                                                .setAgeMs(namedFor(model, version))));
+                                                .setAgeMs(millisSinceNamed(model, version))));
         return ControlFrame.newBuilder().setConfiguration(out).build();
     }
 
-    private long namedFor(String model, long version) {
+    private long millisSinceNamed(String model, long version) {
         long now = mClock.getAsLong();
-        return now - mNamedAt.getOrDefault(model + " " + version, now);
+        return now - mWeightsNamedAt.getOrDefault(model + " " + version, now);
     }
 
     private final class Session implements SessionServer.EntrySession {
         private final StreamObserver<ControlFrame> mOut;
         private String mEntry = "";
-        private long mHeardAt = mClock.getAsLong();
+        private long mLastFrameAt = mClock.getAsLong();
         private boolean mMain;
 
         /** Nothing at first: what another control process told the entry isn't known here. */
-        private Optional<List<TargetLoad>> mLoadsTold = Optional.empty();
+        private Optional<List<TargetLoad>> mLastLoadsSent = Optional.empty();
 
         Session(StreamObserver<ControlFrame> out) {
             mOut = out;
@@ -277,17 +278,17 @@
 
         @Override
         public void onFrame(EntryFrame frame) {
-            mHeardAt = mClock.getAsLong();
+            mLastFrameAt = mClock.getAsLong();
             if (frame.getKindCase() == EntryFrame.KindCase.HELLO) {
                 onHello(frame.getHello());
             } else if (frame.getKindCase() == EntryFrame.KindCase.QUESTION) {
                 onQuestion(frame.getQuestion());
             } else if (frame.getKindCase() == EntryFrame.KindCase.LOADS) {
-                mLoads.onLoad(mEntry, frame.getLoads().getTargetsList(), mHeardAt);
+                mLoads.onLoad(mEntry, frame.getLoads().getTargetsList(), mLastFrameAt);
             } else if (frame.getKindCase() == EntryFrame.KindCase.CRASHES) {
-                mCrashes.onEntryNews(frame.getCrashes());
+                mCrashes.onEntryReport(frame.getCrashes());
             } else if (frame.getKindCase() == EntryFrame.KindCase.LIMITS) {
-                mLimits.onEntryNews(frame.getLimits());
+                mLimits.onEntryReport(frame.getLimits());
             }
         }
 
@@ -303,11 +304,11 @@
             mOut.onNext(frame);
         }
 
-        void tellLoads(List<TargetLoad> loads) {
-            if (!mLoadsTold.equals(Optional.of(loads))) {
-                mLoadsTold = Optional.of(loads);
-                TargetLoads news = TargetLoads.newBuilder().addAllTargets(loads).build();
-                send(ControlFrame.newBuilder().setLoads(news).build());
+        void sendLoads(List<TargetLoad> loads) {
+            if (!mLastLoadsSent.equals(Optional.of(loads))) {
+                mLastLoadsSent = Optional.of(loads);
+                TargetLoads message = TargetLoads.newBuilder().addAllTargets(loads).build();
+                send(ControlFrame.newBuilder().setLoads(message).build());
             }
         }
 
@@ -315,17 +316,17 @@
             mEntry = hello.getEntry();
             mLog.write(Event.SUBSCRIBER_GAINED, "entry", mEntry, "index", hello.getHeldIndex());
             mTargets.onTargets(hello.getTargets());
-            mCrashes.onEntryNews(hello.getCrashes());
+            mCrashes.onEntryReport(hello.getCrashes());
             mSessions.add(this);
             if (mState.hasManifest()) {
                 send(configuration(true));
             }
-            send(ControlFrame.newBuilder().setTargets(mTargets.all()).build());
-            CrashNews conclusions = mCrashes.conclusions();
-            if (conclusions.getSuspectsCount() > 0) {
-                send(ControlFrame.newBuilder().setCrashes(conclusions).build());
+            send(ControlFrame.newBuilder().setTargets(mTargets.snapshot()).build());
+            CrashNews suspects = mCrashes.suspects();
+            if (suspects.getSuspectsCount() > 0) {
+                send(ControlFrame.newBuilder().setCrashes(suspects).build());
             }
-            Limits limits = mLimits.all();
+            Limits limits = mLimits.snapshot();
             if (limits.getLimitsCount() > 0) {
                 send(ControlFrame.newBuilder().setLimits(limits).build());
             }
@@ -340,13 +341,13 @@
         private void onQuestion(Question question) {
             setMain(question.getMain());
             if (mMain) {
-                mLoads.onAlive(mEntry, mClock.getAsLong());
+                mLoads.onKeepAlive(mEntry, mClock.getAsLong());
             }
             mConfirm.accept(
                     confirmed -> {
                         if (confirmed && mSessions.contains(this)) {
                             // All that was accepted goes before the answer.
-                            tellState();
+                            publishState();
                             send(answer(question.getNumber()));
                         }
                     });
@@ -359,12 +360,12 @@
             }
             mMain = main;
             if (!main) {
-                mLoads.onLeft(mEntry);
+                mLoads.removeLocal(mEntry);
                 return;
             }
-            mLoadsTold = Optional.empty();
-            Caches whole = Caches.newBuilder().addAllCaches(mCaches.whole()).build();
-            send(ControlFrame.newBuilder().setCaches(whole).build());
+            mLastLoadsSent = Optional.empty();
+            Caches contents = Caches.newBuilder().addAllCaches(mCacheInventory.snapshot()).build();
+            send(ControlFrame.newBuilder().setCaches(contents).build());
         }
 
         private ControlFrame answer(long number) {
@@ -372,8 +373,8 @@
                     .setAnswer(
                             Answer.newBuilder()
                                     .setNumber(number)
-                                    .setEntries(mLoads.entries(mClock.getAsLong()))
-                                    .setPlace(mLoads.place(mEntry))
+                                    .setEntries(mLoads.entryCount(mClock.getAsLong()))
+                                    .setPlace(mLoads.rank(mEntry))
                                     .setFailureDomain(mFailureDomain)
                                     .addAllControlAddresses(mPeers.known()))
                     .build();
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/FleetJson.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/FleetJson.java
@@ -48,7 +48,7 @@
         return JsonTree.write(tree);
     }
 
-    static FleetCommand command(byte[] bytes) throws QuilldykeException {
+    static FleetCommand decodeCommand(byte[] bytes) throws QuilldykeException {
         JsonNode tree = JsonTree.read(bytes);
         return switch (ReplicaJson.text(tree, TYPE)) {
             case "PublishManifest" ->
@@ -72,7 +72,7 @@
         return JsonTree.write(tree);
     }
 
-    static FleetState.Snapshot snapshot(byte[] bytes) throws QuilldykeException {
+    static FleetState.Snapshot decodeSnapshot(byte[] bytes) throws QuilldykeException {
         JsonNode tree = JsonTree.read(bytes);
         TreeMap<String, Long> weights = new TreeMap<>();
         Iterator<Map.Entry<String, JsonNode>> fields = tree.path("weights").fields();
@@ -86,11 +86,11 @@
 
     static byte[] encode(ReplicaIdentity identity) {
         ObjectNode tree = JsonTree.object().put("id", identity.id());
-        tree.set("initial", ReplicaJson.tree(identity.initial()));
+        tree.set("initial", ReplicaJson.tree(identity.initialMembership()));
         return JsonTree.write(tree);
     }
 
-    static ReplicaIdentity identity(byte[] bytes) throws QuilldykeException {
+    static ReplicaIdentity decodeIdentity(byte[] bytes) throws QuilldykeException {
         JsonNode tree = JsonTree.read(bytes);
         return new ReplicaIdentity(
                 ReplicaJson.text(tree, "id"), ReplicaJson.membership(tree.path("initial")));
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/FleetMachine.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/FleetStateMachine.java
@@ -22,11 +22,11 @@
 import org.quilldyke.manifest.FleetState;
 
 /** The newest manifest and named weights, as the replicated log makes them. */
-final class FleetMachine implements ReplicatedMachine<FleetResult> {
+final class FleetStateMachine implements ReplicatedMachine<FleetResult> {
     private final Consumer<FleetState> mListener;
     private FleetState mState = FleetState.create();
 
-    FleetMachine(Consumer<FleetState> listener) {
+    FleetStateMachine(Consumer<FleetState> listener) {
         mListener = listener;
     }
 
@@ -36,7 +36,7 @@
 
     @Override
     public FleetResult apply(long index, byte[] command) throws QuilldykeException {
-        FleetResult result = mState.apply(index, FleetJson.command(command));
+        FleetResult result = mState.apply(index, FleetJson.decodeCommand(command));
         if (result.changed()) {
             mListener.accept(mState);
         }
@@ -53,7 +53,7 @@
         mState =
                 snapshot.length == 0
                         ? FleetState.create()
-                        : FleetState.restore(FleetJson.snapshot(snapshot));
+                        : FleetState.restore(FleetJson.decodeSnapshot(snapshot));
         mListener.accept(mState);
     }
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/LimitSpread.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/LimitReplication.java
@@ -30,61 +30,62 @@
  * What targets say of the requests that they take, told to all entries: one that hears a target
  * seldom learns from the others that a limit begins, changes or ends.
  */
-final class LimitSpread {
+final class LimitReplication {
     private static final int MAX_TARGETS = 4096;
 
-    private final Map<String, AdvertisedLimit> mLatest = new LinkedHashMap<>();
-    private final Consumer<PeerFrame.Builder> mPeers;
-    private final Consumer<Limits> mEntries;
+    private final Map<String, AdvertisedLimit> mLatestLimits = new LinkedHashMap<>();
+    private final Consumer<PeerFrame.Builder> mToPeers;
+    private final Consumer<Limits> mToEntries;
     private final LongSupplier mClock;
 
-    LimitSpread(Consumer<PeerFrame.Builder> peers, Consumer<Limits> entries, LongSupplier clock) {
-        mPeers = peers;
-        mEntries = entries;
+    LimitReplication(
+            Consumer<PeerFrame.Builder> toPeers, Consumer<Limits> toEntries, LongSupplier clock) {
+        mToPeers = toPeers;
+        mToEntries = toEntries;
         mClock = clock;
     }
 
     /** Takes what an entry has heard of targets, and tells all others what is new. */
-    void onEntryNews(Limits told) {
-        Limits news = take(told);
-        if (news.getLimitsCount() > 0) {
-            mPeers.accept(PeerFrame.newBuilder().setLimits(news));
-            mEntries.accept(news);
+    void onEntryReport(Limits report) {
+        Limits changes = apply(report);
+        if (changes.getLimitsCount() > 0) {
+            mToPeers.accept(PeerFrame.newBuilder().setLimits(changes));
+            mToEntries.accept(changes);
         }
     }
 
     /** Takes what another control process was told, and tells the entries here what is new. */
-    void onPeerNews(Limits told) {
-        Limits news = take(told);
-        if (news.getLimitsCount() > 0) {
-            mEntries.accept(news);
+    void onPeerReport(Limits report) {
+        Limits changes = apply(report);
+        if (changes.getLimitsCount() > 0) {
+            mToEntries.accept(changes);
         }
     }
 
     /** Returns the last word of each target, also that it names no limit any more. */
-    Limits all() {
-        return LimitFrames.encode(List.copyOf(mLatest.values()), mClock.getAsLong());
+    Limits snapshot() {
+        return LimitFrames.encode(List.copyOf(mLatestLimits.values()), mClock.getAsLong());
     }
 
-    private Limits take(Limits told) {
+    private Limits apply(Limits report) {
         long now = mClock.getAsLong();
-        List<AdvertisedLimit> news = new ArrayList<>();
-        for (AdvertisedLimit limit : LimitFrames.decode(told, now)) {
-            AdvertisedLimit known = mLatest.get(limit.target());
-            boolean isNews =
+        List<AdvertisedLimit> changes = new ArrayList<>();
+        for (AdvertisedLimit limit : LimitFrames.decode(report, now)) {
+            AdvertisedLimit known = mLatestLimits.get(limit.target());
+            boolean isNew =
                     known == null
                             || limit.receivedAt() >= known.receivedAt()
                                     && limit.shouldPublishAfter(known);
-            if (isNews) {
+            if (isNew) {
                 // Put anew, so that it is dropped after those of whom nothing was heard for longer.
-                mLatest.remove(limit.target());
-                mLatest.put(limit.target(), limit);
-                news.add(limit);
+                mLatestLimits.remove(limit.target());
+                mLatestLimits.put(limit.target(), limit);
+                changes.add(limit);
             }
         }
-        while (mLatest.size() > MAX_TARGETS) {
-            mLatest.remove(mLatest.keySet().iterator().next());
+        while (mLatestLimits.size() > MAX_TARGETS) {
+            mLatestLimits.remove(mLatestLimits.keySet().iterator().next());
         }
-        return LimitFrames.encode(news, now);
+        return LimitFrames.encode(changes, now);
     }
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/MembershipKeeper.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/MembershipManager.java
@@ -26,18 +26,22 @@
 import org.quilldyke.gateway.instance.proto.PeerFrame;
 
 /** Keeps the group complete: the leader changes the membership, others ask to be members. */
-final class MembershipKeeper {
-    private static final long JOIN_MILLIS = 500;
+final class MembershipManager {
+    private static final long JOIN_INTERVAL_MILLIS = 500;
 
-    private final Group mGroup;
+    private final ReplicaGroup mGroup;
     private final Peers mPeers;
     private final String mAddress;
     private final LongSupplier mClock;
     private final MembershipPlanner mPlanner;
-    private long mJoinedAt;
+    private long mJoinSentAt;
 
-    MembershipKeeper(
-            Group group, Peers peers, String address, LongSupplier clock, int toleratedLosses) {
+    MembershipManager(
+            ReplicaGroup group,
+            Peers peers,
+            String address,
+            LongSupplier clock,
+            int toleratedLosses) {
         mGroup = group;
         mPeers = peers;
         mAddress = address;
@@ -63,8 +67,8 @@
         if (mGroup.leads()) {
             mPlanner.nextMembership(replica, mGroup.selfId(), mGroup.node().leaderSince(), now)
                     .ifPresent(next -> mGroup.node().proposeMembership(next));
-        } else if (replica.leader().isEmpty() && now - mJoinedAt > JOIN_MILLIS) {
-            mJoinedAt = now;
+        } else if (replica.leader().isEmpty() && now - mJoinSentAt > JOIN_INTERVAL_MILLIS) {
+            mJoinSentAt = now;
             mPeers.sendToAll(
                     PeerFrame.newBuilder()
                             .setJoin(
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/Proposals.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/Proposals.java
@@ -42,17 +42,17 @@
     /** A command without a result by then has none: operators wait for a second or more. */
     static final long TIMEOUT_MILLIS = 900;
 
-    private static final long RETRY_MILLIS = 40;
-    private static final long ANSWER_MILLIS = 400;
+    private static final long RETRY_DELAY_MILLIS = 40;
+    private static final long RESULT_TIMEOUT_MILLIS = 400;
 
-    private final Group mGroup;
+    private final ReplicaGroup mGroup;
     private final Peers mPeers;
     private final NettyLoop mLoop;
     private final LongSupplier mClock;
-    private final Map<Long, CompletableFuture<FleetResult>> mSent = new HashMap<>();
-    private long mNumber;
+    private final Map<Long, CompletableFuture<FleetResult>> mAwaitingResult = new HashMap<>();
+    private long mLastNumber;
 
-    Proposals(Group group, Peers peers, NettyLoop loop, LongSupplier clock) {
+    Proposals(ReplicaGroup group, Peers peers, NettyLoop loop, LongSupplier clock) {
         mGroup = group;
         mPeers = peers;
         mLoop = loop;
@@ -63,7 +63,7 @@
     CompletableFuture<FleetResult> propose(FleetCommand command) {
         byte[] encoded = FleetJson.encode(command);
         CompletableFuture<FleetResult> result = new CompletableFuture<>();
-        attempt(encoded, mClock.getAsLong() + TIMEOUT_MILLIS, result);
+        proposeUntil(encoded, mClock.getAsLong() + TIMEOUT_MILLIS, result);
         return result;
     }
 
@@ -86,45 +86,48 @@
 
     /** Takes the leader's answer. */
     void onResult(ProposalResult result) {
-        CompletableFuture<FleetResult> waiting = mSent.remove(result.getNumber());
-        if (waiting == null) {
+        CompletableFuture<FleetResult> pending = mAwaitingResult.remove(result.getNumber());
+        if (pending == null) {
             return;
         }
         if (result.getAccepted()) {
-            waiting.complete(new FleetResult(result.getIndex(), result.getChanged()));
+            pending.complete(new FleetResult(result.getIndex(), result.getChanged()));
         } else {
-            waiting.completeExceptionally(noLeader());
+            pending.completeExceptionally(noLeader());
         }
     }
 
-    private void attempt(byte[] command, long until, CompletableFuture<FleetResult> result) {
-        if (mClock.getAsLong() >= until) {
+    private void proposeUntil(
+            byte[] command, long deadline, CompletableFuture<FleetResult> result) {
+        if (mClock.getAsLong() >= deadline) {
             result.completeExceptionally(noLeader());
             return;
         }
-        attemptOnce(command)
+        proposeOnce(command)
                 .whenComplete(
-                        (done, e) -> {
+                        (committed, e) -> {
                             if (e == null) {
-                                result.complete(done);
+                                result.complete(committed);
                             } else {
-                                mLoop.schedule(RETRY_MILLIS, () -> attempt(command, until, result));
+                                mLoop.schedule(
+                                        RETRY_DELAY_MILLIS,
+                                        () -> proposeUntil(command, deadline, result));
                             }
                         });
     }
 
-    private CompletableFuture<FleetResult> attemptOnce(byte[] command) {
+    private CompletableFuture<FleetResult> proposeOnce(byte[] command) {
         if (mGroup.leads()) {
             return mGroup.node().propose(command);
         }
-        CompletableFuture<FleetResult> answer = new CompletableFuture<>();
+        CompletableFuture<FleetResult> result = new CompletableFuture<>();
         Optional<String> leader = mGroup.leaderAddress();
         if (leader.isEmpty()) {
-            answer.completeExceptionally(noLeader());
-            return answer;
+            result.completeExceptionally(noLeader());
+            return result;
         }
-        long number = ++mNumber;
-        mSent.put(number, answer);
+        long number = ++mLastNumber;
+        mAwaitingResult.put(number, result);
         mPeers.send(
                 leader.get(),
                 PeerFrame.newBuilder()
@@ -133,13 +136,13 @@
                                         .setNumber(number)
                                         .setCommand(ByteString.copyFrom(command))));
         mLoop.schedule(
-                ANSWER_MILLIS,
+                RESULT_TIMEOUT_MILLIS,
                 () -> {
-                    if (mSent.remove(number) != null) {
-                        answer.completeExceptionally(noLeader());
+                    if (mAwaitingResult.remove(number) != null) {
+                        result.completeExceptionally(noLeader());
                     }
                 });
-        return answer;
+        return result;
     }
 
     private static QuilldykeException noLeader() {
--- /dev/null
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/ReadConfirmations.java
@@ -0,0 +1,202 @@
+/*
+ * Copyright 2026 The quilldyke authors
+ *
+ * Licensed under the Apache License, Version 2.0 (the "License");
+ * you may not use this file except in compliance with the License.
+ * You may obtain a copy of the License at
+ *
+ *     http://www.apache.org/licenses/LICENSE-2.0
+ *
+ * Unless required by applicable law or agreed to in writing, software
+ * distributed under the License is distributed on an "AS IS" BASIS,
+ * WITHOUT WARRANTIES OR CONDITIONS OF ANY KIND, either express or implied.
+ * See the License for the specific language governing permissions and
+ * limitations under the License.
+ */
+package org.quilldyke.gateway.control;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.Iterator;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.Consumer;
+import java.util.function.LongSupplier;
+import org.quilldyke.gateway.instance.Peers;
+import org.quilldyke.gateway.instance.proto.Confirm;
+import org.quilldyke.gateway.instance.proto.Confirmed;
+import org.quilldyke.gateway.instance.proto.PeerFrame;
+
+/**
+ * Confirms that what is applied here includes all that was committed before a question came.
+ *
+ * <p>The leader confirms a question when a majority has heard it after the question came. Another
+ * replica asks the leader, one question for all that wait, and then waits until it has applied what
+ * was committed by then.
+ */
+final class ReadConfirmations {
+    /** A question that isn't answered by then has no answer: callers wait for a second. */
+    static final long TIMEOUT_MILLIS = 800;
+
+    private final ReplicaGroup mGroup;
+    private final Peers mPeers;
+    private final LongSupplier mClock;
+    private final List<PendingRead> mAwaitingMajority = new ArrayList<>();
+    private final List<PendingRead> mUnsent = new ArrayList<>();
+    private final Map<Long, LeaderQuery> mSentToLeader = new HashMap<>();
+    private final List<AwaitingApply> mAwaitingApply = new ArrayList<>();
+    private long mLastNumber;
+    private long mPendingNumber;
+
+    ReadConfirmations(ReplicaGroup group, Peers peers, LongSupplier clock) {
+        mGroup = group;
+        mPeers = peers;
+        mClock = clock;
+    }
+
+    /** Asks; {@code done} hears whether it is confirmed, within {@link #TIMEOUT_MILLIS}. */
+    void confirm(Consumer<Boolean> callback) {
+        PendingRead read = new PendingRead(mClock.getAsLong(), callback);
+        if (mGroup.leads()) {
+            mAwaitingMajority.add(read);
+        } else {
+            mUnsent.add(read);
+        }
+        advance();
+    }
+
+    /** Takes another replica's question. */
+    void onConfirm(String from, Confirm request) {
+        if (!mGroup.leads()) {
+            reply(from, request.getNumber(), false);
+            return;
+        }
+        mAwaitingMajority.add(
+                new PendingRead(
+                        mClock.getAsLong(), leads -> reply(from, request.getNumber(), leads)));
+        advance();
+    }
+
+    /** Takes the leader's answer. */
+    void onConfirmed(Confirmed answer) {
+        LeaderQuery query = mSentToLeader.remove(answer.getNumber());
+        if (query == null) {
+            return;
+        }
+        mPendingNumber = 0;
+        for (PendingRead read : query.reads()) {
+            if (answer.getLeads()) {
+                mAwaitingApply.add(new AwaitingApply(answer.getIndex(), read));
+            } else {
+                read.callback().accept(false);
+            }
+        }
+        advance();
+    }
+
+    /** Answers what can be answered; call it after each message and often. */
+    void advance() {
+        long now = mClock.getAsLong();
+        completeConfirmed();
+        sendQueryToLeader(now);
+        completeApplied();
+        expire(now);
+    }
+
+    private void completeConfirmed() {
+        long confirmedAt = mGroup.node().confirmedAt();
+        List<PendingRead> confirmed =
+                removeMatching(mAwaitingMajority, read -> read.receivedAt() < confirmedAt);
+        confirmed.forEach(read -> read.callback().accept(true));
+    }
+
+    private void sendQueryToLeader(long now) {
+        if (mUnsent.isEmpty() || mPendingNumber != 0) {
+            return;
+        }
+        if (mGroup.leads()) {
+            mAwaitingMajority.addAll(mUnsent);
+            mUnsent.clear();
+            return;
+        }
+        Optional<String> leader = mGroup.leaderAddress();
+        if (leader.isPresent()) {
+            mPendingNumber = ++mLastNumber;
+            mSentToLeader.put(mLastNumber, new LeaderQuery(now, List.copyOf(mUnsent)));
+            mUnsent.clear();
+            mPeers.send(
+                    leader.get(),
+                    PeerFrame.newBuilder().setConfirm(Confirm.newBuilder().setNumber(mLastNumber)));
+        }
+    }
+
+    private void completeApplied() {
+        long applied = mGroup.node().appliedIndex();
+        Iterator<AwaitingApply> all = List.copyOf(mAwaitingApply).iterator();
+        mAwaitingApply.removeIf(awaiting -> awaiting.requiredIndex() <= applied);
+        while (all.hasNext()) {
+            AwaitingApply awaiting = all.next();
+            if (awaiting.requiredIndex() <= applied) {
+                awaiting.read().callback().accept(true);
+            }
+        }
+    }
+
+    private void expire(long now) {
+        long limit = now - TIMEOUT_MILLIS;
+        List<PendingRead> expired =
+                removeMatching(mAwaitingMajority, read -> read.receivedAt() < limit);
+        expired.addAll(removeMatching(mUnsent, read -> read.receivedAt() < limit));
+        List<Long> unanswered = new ArrayList<>();
+        mSentToLeader.forEach(
+                (number, query) -> {
+                    if (query.sentAt() < now - TIMEOUT_MILLIS / 2) {
+                        unanswered.add(number);
+                        expired.addAll(query.reads());
+                    }
+                });
+        for (long number : unanswered) {
+            mSentToLeader.remove(number);
+            mPendingNumber = mPendingNumber == number ? 0 : mPendingNumber;
+        }
+        for (AwaitingApply awaiting : List.copyOf(mAwaitingApply)) {
+            if (awaiting.read().receivedAt() < limit) {
+                mAwaitingApply.remove(awaiting);
+                expired.add(awaiting.read());
+            }
+        }
+        expired.forEach(read -> read.callback().accept(false));
+    }
+
+    private void reply(String to, long number, boolean leads) {
+        mPeers.send(
+                to,
+                PeerFrame.newBuilder()
+                        .setConfirmed(
+                                Confirmed.newBuilder()
+                                        .setNumber(number)
+                                        .setLeads(leads)
+                                        .setIndex(mGroup.node().replica().commitIndex())));
+    }
+
+    private static List<PendingRead> removeMatching(
+            List<PendingRead> from, java.util.function.Predicate<PendingRead> filter) {
+        List<PendingRead> removed = new ArrayList<>();
+        from.removeIf(
+                read -> {
+                    boolean matches = filter.test(read);
+                    if (matches) {
+                        removed.add(read);
+                    }
+                    return matches;
+                });
+        return removed;
+    }
+
+    private record PendingRead(long receivedAt, Consumer<Boolean> callback) {}
+
+    private record LeaderQuery(long sentAt, List<PendingRead> reads) {}
+
+    private record AwaitingApply(long requiredIndex, PendingRead read) {}
+}
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/Group.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/ReplicaGroup.java
@@ -30,18 +30,18 @@
  * The replicas by their ids and addresses. A replica that lost its disk has a new id at its old
  * address, so messages bear both.
  */
-final class Group {
+final class ReplicaGroup {
     private final String mSelfId;
     private final Peers mPeers;
-    private final Map<String, String> mLearned = new HashMap<>();
+    private final Map<String, String> mLearnedAddresses = new HashMap<>();
     private ReplicaNode<FleetResult> mNode;
 
-    Group(String selfId, Peers peers) {
+    ReplicaGroup(String selfId, Peers peers) {
         mSelfId = selfId;
         mPeers = peers;
     }
 
-    void onNode(ReplicaNode<FleetResult> node) {
+    void setNode(ReplicaNode<FleetResult> node) {
         mNode = node;
     }
 
@@ -64,7 +64,7 @@
     }
 
     /** Sends a replica's message. */
-    void deliver(String to, PeerMessage message) {
+    void send(String to, PeerMessage message) {
         addressOf(to)
                 .ifPresent(
                         address ->
@@ -75,13 +75,13 @@
     }
 
     /** Notes where a replica speaks from that may be no member yet. */
-    void onHeard(String id, String address) {
-        mLearned.put(id, address);
+    void learnAddress(String id, String address) {
+        mLearnedAddresses.put(id, address);
     }
 
     private Optional<String> addressOf(String id) {
         Optional<String> member =
                 mNode.replica().membership().member(id).map(Membership.Member::address);
-        return member.or(() -> Optional.ofNullable(mLearned.get(id)));
+        return member.or(() -> Optional.ofNullable(mLearnedAddresses.get(id)));
     }
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/ReplicaIdentity.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/ReplicaIdentity.java
@@ -37,10 +37,10 @@
  * and asks to join, so that it can never vote twice for its lost self.
  *
  * @param id the name
- * @param initial the membership before the log's first change of it
+ * @param initialMembership the membership before the log's first change of it
  */
-record ReplicaIdentity(String id, Membership initial) {
-    private static final int RANDOM_BYTES = 4;
+record ReplicaIdentity(String id, Membership initialMembership) {
+    private static final int ID_SUFFIX_BYTES = 4;
 
     /** Opens a replica's files; a disk that is damaged is cleared and taken for an empty one. */
     static Opened open(
@@ -58,7 +58,7 @@
             }
             log.write(Event.DISK_CLEARED, "detail", e.getMessage());
             folder.clear();
-            ReplicaIdentity identity = joining(address, random);
+            ReplicaIdentity identity = createJoiningIdentity(address, random);
             folder.saveIdentity(FleetJson.encode(identity));
             return opened(identity, folder.load());
         }
@@ -70,7 +70,7 @@
         byte[] stored = folder.loadIdentity();
         ReplicaIdentity identity;
         if (stored.length == 0) {
-            identity = fresh(settings, address, random);
+            identity = createIdentity(settings, address, random);
             folder.saveIdentity(FleetJson.encode(identity));
         } else {
             identity = parse(stored);
@@ -80,28 +80,29 @@
 
     private static ReplicaIdentity parse(byte[] stored) throws QuilldykeException {
         try {
-            return FleetJson.identity(stored);
+            return FleetJson.decodeIdentity(stored);
         } catch (QuilldykeException e) {
             throw QuilldykeException.of(
                     ResultCode.LOG_DAMAGED, Outcome.NOT_RUN, "identity: " + e.getMessage(), e);
         }
     }
 
-    private static Opened opened(ReplicaIdentity identity, DurableState disk) {
+    private static Opened opened(ReplicaIdentity identity, DurableState durableState) {
         // The name vouches for the disk: whoever bears it has lost nothing.
-        Ballot ballot = new Ballot(disk.ballot().term(), disk.ballot().votedFor(), true);
+        Ballot ballot =
+                new Ballot(durableState.ballot().term(), durableState.ballot().votedFor(), true);
         return new Opened(
                 identity,
                 new DurableState(
                         ballot,
-                        disk.snapshotIndex(),
-                        disk.snapshotTerm(),
-                        disk.snapshot(),
-                        disk.snapshotMembership(),
-                        disk.entries()));
+                        durableState.snapshotIndex(),
+                        durableState.snapshotTerm(),
+                        durableState.snapshot(),
+                        durableState.snapshotMembership(),
+                        durableState.entries()));
     }
 
-    private static ReplicaIdentity fresh(
+    private static ReplicaIdentity createIdentity(
             GatewaySettings settings, String address, RandomGenerator random) {
         List<String> seeds = settings.seedAddresses();
         if (settings.firstStart() && seeds.contains(address)) {
@@ -112,11 +113,11 @@
                                     .map(seed -> new Membership.Member(seedId(seed), seed))
                                     .toList()));
         }
-        return joining(address, random);
+        return createJoiningIdentity(address, random);
     }
 
-    private static ReplicaIdentity joining(String address, RandomGenerator random) {
-        byte[] bytes = new byte[RANDOM_BYTES];
+    private static ReplicaIdentity createJoiningIdentity(String address, RandomGenerator random) {
+        byte[] bytes = new byte[ID_SUFFIX_BYTES];
         random.nextBytes(bytes);
         String id = address + "/" + HexFormat.of().formatHex(bytes);
         return new ReplicaIdentity(id, Membership.empty());
@@ -127,5 +128,5 @@
     }
 
     /** A replica's name and what its disk holds. */
-    record Opened(ReplicaIdentity identity, DurableState disk) {}
+    record Opened(ReplicaIdentity identity, DurableState durableState) {}
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/TargetLog.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/TargetLog.java
@@ -37,7 +37,7 @@
     }
 
     /** A target says something new, or is heard for the first time. */
-    void onNews(boolean wasKnown, TargetReport report) {
+    void onChange(boolean wasKnown, TargetReport report) {
         mLog.write(
                 wasKnown ? Event.TARGET_CHANGED : Event.TARGET_JOINED,
                 TARGET,
@@ -57,22 +57,23 @@
     /**
      * A target says that it is gone.
      *
-     * @param told who, by its own word
+     * @param sentKey who, by its own word
      * @param known the targets that are known after it
      */
-    void onLeave(String told, LeaveOutcome leave, List<TargetReport> known) {
-        String became = leave.result().name().toLowerCase(Locale.ROOT);
-        boolean orNext = leave.suspension().map(Suspension::coversSuccessor).orElse(false);
-        onLeave(told, leave.target(), became, orNext, known);
+    void onLeave(String sentKey, LeaveOutcome outcome, List<TargetReport> known) {
+        String result = outcome.result().name().toLowerCase(Locale.ROOT);
+        boolean coversSuccessor =
+                outcome.suspension().map(Suspension::coversSuccessor).orElse(false);
+        onLeave(sentKey, outcome.target(), result, coversSuccessor, known);
     }
 
     /** A target said that it leaves, before it said that it is ready. */
-    void onLateLeave(String id, List<TargetReport> known) {
+    void onOutdatedLeave(String id, List<TargetReport> known) {
         onLeave(id, id, "ignored", false, known);
     }
 
     /** A target that had said that it leaves has left. */
-    void onLeft(Departure departure) {
+    void onDeparture(Departure departure) {
         mLog.write(
                 Event.TARGET_LEAVES,
                 TARGET,
@@ -84,7 +85,7 @@
     }
 
     /** A later incarnation has taken a target's place. */
-    void onEnded(String id) {
+    void onSuperseded(String id) {
         mLog.write(Event.TARGET_CHANGED, TARGET, id, "ended", true);
     }
 
@@ -106,23 +107,27 @@
     }
 
     /** A target that was remembered over a restart has not reported itself. */
-    void onForgotten(String id) {
+    void onRestoredExpired(String id) {
         mLog.write(Event.TARGET_LAPSED, TARGET, id, "remembered", true);
     }
 
     private void onLeave(
-            String told, String takenFor, String became, boolean orNext, List<TargetReport> known) {
-        String id = Incarnation.ofKey(told).id();
+            String sentKey,
+            String matchedTarget,
+            String result,
+            boolean coversSuccessor,
+            List<TargetReport> known) {
+        String id = Incarnation.ofKey(sentKey).id();
         mLog.write(
                 Event.TARGET_LEAVES,
                 TARGET,
-                told,
+                sentKey,
                 "taken_for",
-                takenFor,
+                matchedTarget,
                 BECAME,
-                became,
+                result,
                 "or_next",
-                orNext,
+                coversSuccessor,
                 "ready",
                 known.stream()
                         .filter(report -> !report.leaving())
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/TargetSpread.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/TargetReplication.java
@@ -46,69 +46,73 @@
  * second or so, and until then requests would meet few of them, or none. A target that has ended
  * meanwhile, or whose address another one has, takes no request that names it.
  */
-final class TargetSpread {
+final class TargetReplication {
     /** How often the signs of life that came here are told to other control processes. */
-    static final long ALIVE_MILLIS = 800;
+    static final long LIVENESS_REPORT_MILLIS = 800;
 
     /** How often all targets are told anew: one that lapsed somewhere by mistake is known again. */
     static final long REFRESH_MILLIS = 5000;
 
     /** A target lapses after this many of its reports have not come, by a margin for late ones. */
-    private static final double LAPSE_REPORTS = 3.5;
+    private static final double LAPSE_REPORT_INTERVALS = 3.5;
 
     /** Signs of life come from others this often at the least before a target lapses here. */
-    private static final long LAPSE_TELLINGS = 3;
+    private static final long LAPSE_LIVENESS_REPORTS = 3;
 
     /**
      * A remembered target that hasn't reported itself within this many of its reports' intervals is
      * forgotten: it had one chance to be heard, and half an interval for a late report.
      */
-    private static final double REMEMBERED_REPORTS = 1.5;
+    private static final double RESTORED_EXPIRY_REPORT_INTERVALS = 1.5;
 
     /** A start takes as long at the least until targets can report themselves. */
-    private static final long MIN_REMEMBERED_MILLIS = 1500;
+    private static final long MIN_RESTORED_EXPIRY_MILLIS = 1500;
 
     private final TargetRegistry mRegistry = TargetRegistry.create();
-    private final Set<String> mHeardHere = new HashSet<>();
-    private final Consumer<PeerFrame.Builder> mPeers;
-    private final Deliveries mDeliveries;
-    private final Consumer<Targets> mEntries;
+    private final Set<String> mReportedHere = new HashSet<>();
+    private final Consumer<PeerFrame.Builder> mToPeers;
+    private final AckedBroadcasts mBroadcasts;
+    private final Consumer<Targets> mToEntries;
     private final LongSupplier mClock;
     private final TargetLog mLog;
-    private final RestartMemory mMemory;
-    private final RefusalLog mRefused;
+    private final WarmStartData mWarmStart;
+    private final RefusalLog mRejectedReports;
     private final long mLapseMillis;
-    private final long mForgetAt;
-    private boolean mToSave;
-    private long mToldAt;
+    private final long mRestoredExpireAt;
+    private boolean mSaveNeeded;
+    private long mLivenessSentAt;
     private long mRefreshedAt;
-    private long mCompleteSince;
+    private long mConnectedSince;
     private Optional<Set<String>> mServices = Optional.empty();
 
-    TargetSpread(
-            Consumer<PeerFrame.Builder> peers,
-            Deliveries deliveries,
-            Consumer<Targets> entries,
+    TargetReplication(
+            Consumer<PeerFrame.Builder> toPeers,
+            AckedBroadcasts broadcasts,
+            Consumer<Targets> toEntries,
             LongSupplier clock,
             EventLog log,
-            RestartMemory memory,
-            RefusalLog refused,
-            long reportMillis) {
-        mPeers = peers;
-        mDeliveries = deliveries;
-        mEntries = entries;
+            WarmStartData warmStart,
+            RefusalLog rejectedReports,
+            long reportIntervalMillis) {
+        mToPeers = toPeers;
+        mBroadcasts = broadcasts;
+        mToEntries = toEntries;
         mClock = clock;
         mLog = new TargetLog(log);
-        mMemory = memory;
-        mRefused = refused;
+        mWarmStart = warmStart;
+        mRejectedReports = rejectedReports;
         mLapseMillis =
-                Math.max(Math.round(reportMillis * LAPSE_REPORTS), LAPSE_TELLINGS * ALIVE_MILLIS);
-        mCompleteSince = clock.getAsLong();
-        mRefreshedAt = mCompleteSince;
-        long remembered = Math.round(reportMillis * REMEMBERED_REPORTS);
-        mForgetAt = mCompleteSince + Math.max(MIN_REMEMBERED_MILLIS, remembered);
-        memory.leaves().forEach(leave -> onLeaveTold(leave, mCompleteSince));
-        memory.targets().forEach(report -> mRegistry.onReport(report, mCompleteSince));
+                Math.max(
+                        Math.round(reportIntervalMillis * LAPSE_REPORT_INTERVALS),
+                        LAPSE_LIVENESS_REPORTS * LIVENESS_REPORT_MILLIS);
+        mConnectedSince = clock.getAsLong();
+        mRefreshedAt = mConnectedSince;
+        long restoredExpiryMillis =
+                Math.round(reportIntervalMillis * RESTORED_EXPIRY_REPORT_INTERVALS);
+        mRestoredExpireAt =
+                mConnectedSince + Math.max(MIN_RESTORED_EXPIRY_MILLIS, restoredExpiryMillis);
+        warmStart.leaves().forEach(leave -> applyLeave(leave, mConnectedSince));
+        warmStart.targets().forEach(report -> mRegistry.onReport(report, mConnectedSince));
     }
 
     /**
@@ -123,59 +127,61 @@
      * Takes a report that came here.
      *
      * @param report what the target says
-     * @param tellsWeights whether it says which weights it holds, be it none
+     * @param includesWeights whether it says which weights it holds, be it none
      * @return whether it may be acknowledged: that a target leaves has to be known elsewhere, too
      * @throws QuilldykeException {@link ResultCode#REPORT_SERVICE} if no service has its name; a
      *     target that was known with it before goes on to live. {@link ResultCode#REPORT_INVALID}
      *     if it says nothing of weights that the target is known to hold
      */
-    CompletableFuture<Boolean> onReport(TargetReport report, boolean tellsWeights)
+    CompletableFuture<Boolean> onReport(TargetReport report, boolean includesWeights)
             throws QuilldykeException {
         Optional<TargetReport> before = mRegistry.report(report.key());
-        boolean holdsSome = before.map(known -> !known.weights().isEmpty()).orElse(false);
-        if (holdsSome && !tellsWeights) {
+        boolean holdsWeights = before.map(known -> !known.weights().isEmpty()).orElse(false);
+        if (holdsWeights && !includesWeights) {
             throw QuilldykeException.notRun(ResultCode.REPORT_INVALID, "models");
         }
-        if (!isOfAService(report)
+        if (!hasKnownService(report)
                 && (mServices.isPresent() || mRegistry.conflictsWithOtherService(report))) {
             throw QuilldykeException.notRun(ResultCode.REPORT_SERVICE, report.service());
         }
         long now = mClock.getAsLong();
-        mHeardHere.add(report.key());
+        mReportedHere.add(report.key());
         if (!report.leaving()) {
-            mDeliveries.forget(report.key());
+            mBroadcasts.forget(report.key());
         }
         if (mRegistry.onReport(report, now)) {
-            TargetReport taken = mRegistry.report(report.key()).orElse(report);
-            mLog.onNews(before.isPresent(), taken);
-            mToSave = true;
-            tell(Targets.newBuilder().addTargets(TargetFrames.encode(taken, 0)).build());
+            TargetReport stored = mRegistry.report(report.key()).orElse(report);
+            mLog.onChange(before.isPresent(), stored);
+            mSaveNeeded = true;
+            publish(Targets.newBuilder().addTargets(TargetFrames.encode(stored, 0)).build());
         }
-        if (report.leaving() && isTakenForLive(report.key())) {
-            mLog.onLateLeave(report.key(), mRegistry.reports());
+        if (report.leaving() && isActive(report.key())) {
+            mLog.onOutdatedLeave(report.key(), mRegistry.reports());
         }
-        noteEnded();
-        return report.leaving() ? deliverLeaving(report.key()) : Deliveries.DONE;
+        processRemovedTargets();
+        return report.leaving() ? broadcastLeave(report.key()) : AckedBroadcasts.COMPLETED;
     }
 
     /** The reports of a target that is leaving come again and again. */
-    private CompletableFuture<Boolean> deliverLeaving(String id) {
+    private CompletableFuture<Boolean> broadcastLeave(String id) {
         Targets.Builder leaving = Targets.newBuilder();
         mRegistry
                 .report(id)
                 .filter(TargetReport::leaving)
                 .ifPresent(known -> leaving.addTargets(TargetFrames.encode(known, 0)));
-        mRegistry.departure(id).ifPresent(left -> leaving.addTargets(TargetFrames.encode(left, 0)));
+        mRegistry
+                .departure(id)
+                .ifPresent(departure -> leaving.addTargets(TargetFrames.encode(departure, 0)));
         return leaving.getTargetsCount() == 0
-                ? Deliveries.DONE
-                : mDeliveries.deliverOnce(id, leaving.build());
+                ? AckedBroadcasts.COMPLETED
+                : mBroadcasts.broadcastOnce(id, leaving.build());
     }
 
-    private boolean isTakenForLive(String id) {
+    private boolean isActive(String id) {
         return mRegistry.report(id).map(known -> !known.leaving()).orElse(false);
     }
 
-    private boolean isOfAService(TargetReport report) {
+    private boolean hasKnownService(TargetReport report) {
         String name = report.service();
         return mServices.map(names -> names.contains(name)).orElse(false)
                 || mRegistry
@@ -189,25 +195,26 @@
      *
      * @return whether it may be acknowledged
      */
-    CompletableFuture<Boolean> onLeave(String told) {
+    CompletableFuture<Boolean> onLeave(String key) {
         long now = mClock.getAsLong();
-        LeaveOutcome leave = mRegistry.onLeave(told, now);
-        mLog.onLeave(told, leave, mRegistry.reports());
-        Targets targets = Targets.newBuilder().addAllTargets(encode(leave)).build();
-        if (leave.needsPropagation()) {
-            mToSave = true;
-            mEntries.accept(targets);
+        LeaveOutcome outcome = mRegistry.onLeave(key, now);
+        mLog.onLeave(key, outcome, mRegistry.reports());
+        Targets targets = Targets.newBuilder().addAllTargets(encode(outcome)).build();
+        if (outcome.needsPropagation()) {
+            mSaveNeeded = true;
+            mToEntries.accept(targets);
         }
-        noteEnded();
-        return mDeliveries.deliver(targets);
+        processRemovedTargets();
+        return mBroadcasts.broadcast(targets);
     }
 
-    private static List<Target> encode(LeaveOutcome leave) {
+    private static List<Target> encode(LeaveOutcome outcome) {
         List<Target> targets = new ArrayList<>();
-        if (leave.hasDeparted()) {
-            targets.add(TargetFrames.encode(leave.target(), Target.Standing.GONE));
+        if (outcome.hasDeparted()) {
+            targets.add(TargetFrames.encode(outcome.target(), Target.Standing.GONE));
         }
-        leave.suspension().ifPresent(suspension -> targets.add(TargetFrames.encode(suspension, 0)));
+        outcome.suspension()
+                .ifPresent(suspension -> targets.add(TargetFrames.encode(suspension, 0)));
         return targets;
     }
 
@@ -217,32 +224,32 @@
      */
     void onTargets(Targets targets) {
         long now = mClock.getAsLong();
-        Targets.Builder news = Targets.newBuilder();
+        Targets.Builder changes = Targets.newBuilder();
         Targets.Builder leaves = Targets.newBuilder();
         for (Target target : targets.getTargetsList()) {
-            boolean isNews =
+            boolean isNew =
                     switch (target.getStanding()) {
-                        case GONE, SUSPENDED -> onLeaveTold(target, now);
+                        case GONE, SUSPENDED -> applyLeave(target, now);
                         case LAPSED -> false;
-                        default -> isNews(target, now);
+                        default -> applyReport(target, now);
                     };
-            if (isNews) {
-                news.addTargets(known(target, now));
+            if (isNew) {
+                changes.addTargets(asKnownHere(target, now));
             }
-            if (isNews && isLeave(target)) {
+            if (isNew && isLeave(target)) {
                 leaves.addTargets(target);
             }
         }
-        noteEnded();
+        processRemovedTargets();
         for (Alive alive : targets.getAliveList()) {
             mRegistry.onAlive(alive.getId(), now - alive.getAgeMs());
         }
-        if (news.getTargetsCount() > 0) {
-            mToSave = true;
-            mEntries.accept(news.build());
+        if (changes.getTargetsCount() > 0) {
+            mSaveNeeded = true;
+            mToEntries.accept(changes.build());
         }
         if (leaves.getTargetsCount() > 0) {
-            mPeers.accept(PeerFrame.newBuilder().setTargets(leaves));
+            mToPeers.accept(PeerFrame.newBuilder().setTargets(leaves));
         }
     }
 
@@ -255,20 +262,20 @@
     }
 
     /** Returns a live target as it is known here, where it may be suspended; others as told. */
-    private Target known(Target told, long now) {
-        return told.getStanding() != Target.Standing.LIVE
-                ? told
+    private Target asKnownHere(Target received, long now) {
+        return received.getStanding() != Target.Standing.LIVE
+                ? received
                 : mRegistry
-                        .report(told.getId())
-                        .map(report -> TargetFrames.encode(report, now - heardAt(report)))
-                        .orElse(told);
+                        .report(received.getId())
+                        .map(report -> TargetFrames.encode(report, now - lastSeenAt(report)))
+                        .orElse(received);
     }
 
-    private long heardAt(TargetReport report) {
+    private long lastSeenAt(TargetReport report) {
         return mRegistry.lastSeenAt(report.key());
     }
 
-    private boolean onLeaveTold(Target target, long now) {
+    private boolean applyLeave(Target target, long now) {
         return target.getStanding() == Target.Standing.SUSPENDED
                 ? mRegistry.onSuspension(TargetFrames.decodeSuspension(target, now))
                 : mRegistry.onDeparture(TargetFrames.decodeDeparture(target, now));
@@ -278,57 +285,57 @@
      * One that can't be taken costs the others nothing; nor does one of a service that isn't known
      * here: who told it may not know the services either, or know a newer one.
      */
-    private boolean isNews(Target target, long now) {
+    private boolean applyReport(Target target, long now) {
         try {
             TargetReport report = TargetFrames.decode(target);
-            if (!isOfAService(report) && mRegistry.conflictsWithOtherService(report)) {
+            if (!hasKnownService(report) && mRegistry.conflictsWithOtherService(report)) {
                 throw QuilldykeException.notRun(ResultCode.REPORT_SERVICE, report.service());
             }
             return mRegistry.onReport(report, now - target.getAgeMs());
         } catch (QuilldykeException e) {
-            mRefused.onRefused(RefusalLog.Source.INSTANCE, target.getId(), e);
+            mRejectedReports.onRefused(RefusalLog.Source.INSTANCE, target.getId(), e);
             return false;
         }
     }
 
-    private void noteEnded() {
+    private void processRemovedTargets() {
         for (String id : mRegistry.takeSuperseded()) {
-            mLog.onEnded(id);
-            mToSave = true;
+            mLog.onSuperseded(id);
+            mSaveNeeded = true;
         }
         for (String id : mRegistry.takeDisplaced()) {
             mLog.onDisplaced(id);
         }
-        Targets.Builder left = Targets.newBuilder();
+        Targets.Builder departures = Targets.newBuilder();
         for (Departure departure : mRegistry.takeInferredDepartures()) {
-            mLog.onLeft(departure);
-            left.addTargets(TargetFrames.encode(departure, 0));
-            mToSave = true;
+            mLog.onDeparture(departure);
+            departures.addTargets(TargetFrames.encode(departure, 0));
+            mSaveNeeded = true;
         }
-        if (left.getTargetsCount() > 0) {
-            tell(left.build());
+        if (departures.getTargetsCount() > 0) {
+            publish(departures.build());
         }
     }
 
     /** Returns all that is known, for entries. */
-    Targets all() {
-        return all(report -> true);
+    Targets snapshot() {
+        return snapshot(report -> true);
     }
 
     /** Returns what is known of targets that were heard, for other control processes. */
-    Targets heard() {
-        return all(report -> !report.isRestored());
+    Targets snapshotForPeers() {
+        return snapshot(report -> !report.isRestored());
     }
 
-    private Targets all(Predicate<TargetReport> which) {
+    private Targets snapshot(Predicate<TargetReport> filter) {
         long now = mClock.getAsLong();
-        Targets.Builder all = Targets.newBuilder();
+        Targets.Builder targets = Targets.newBuilder();
         for (TargetReport report : mRegistry.reports()) {
-            if (which.test(report)) {
-                all.addTargets(TargetFrames.encode(report, now - heardAt(report)));
+            if (filter.test(report)) {
+                targets.addTargets(TargetFrames.encode(report, now - lastSeenAt(report)));
             }
         }
-        return all.addAllTargets(TargetFrames.encodeLeaves(mRegistry, now)).build();
+        return targets.addAllTargets(TargetFrames.encodeLeaves(mRegistry, now)).build();
     }
 
     /** Returns the last report of each target. */
@@ -344,30 +351,30 @@
     /**
      * Tells signs of life, and finds targets that were silent for too long.
      *
-     * @param inTouch whether this process hears the others: one that is cut off can't tell a silent
-     *     target from one that reports elsewhere
+     * @param hasRecentLeader whether this process hears the others: one that is cut off can't tell
+     *     a silent target from one that reports elsewhere
      */
-    void tick(boolean inTouch) {
+    void tick(boolean hasRecentLeader) {
         long now = mClock.getAsLong();
-        mDeliveries.expire();
-        if (now - mToldAt >= ALIVE_MILLIS) {
-            mToldAt = now;
-            tellAlive(now);
+        mBroadcasts.expire();
+        if (now - mLivenessSentAt >= LIVENESS_REPORT_MILLIS) {
+            mLivenessSentAt = now;
+            sendLivenessReports(now);
         }
-        if (inTouch && now - mRefreshedAt >= REFRESH_MILLIS) {
+        if (hasRecentLeader && now - mRefreshedAt >= REFRESH_MILLIS) {
             mRefreshedAt = now;
-            tell(heard());
+            publish(snapshotForPeers());
         }
-        if (now >= mForgetAt) {
-            forgetRemembered();
+        if (now >= mRestoredExpireAt) {
+            expireRestored();
         }
-        if (mToSave) {
-            mToSave = !save(now);
+        if (mSaveNeeded) {
+            mSaveNeeded = !save(now);
         }
-        if (!inTouch) {
-            mCompleteSince = now;
+        if (!hasRecentLeader) {
+            mConnectedSince = now;
         }
-        if (now - mCompleteSince < mLapseMillis) {
+        if (now - mConnectedSince < mLapseMillis) {
             return;
         }
         lapse(now);
@@ -384,53 +391,53 @@
                 leaves.add(TargetFrames.encode(Departure.upTo(report, now), 0));
             }
         }
-        boolean leavesTaken = mMemory.saveLeaves(leaves);
-        return mMemory.saveTargets(mRegistry.reports()) && leavesTaken;
+        boolean leavesSubmitted = mWarmStart.saveLeaves(leaves);
+        return mWarmStart.saveTargets(mRegistry.reports()) && leavesSubmitted;
     }
 
     private void lapse(long now) {
-        mDeliveries.retain(id -> mRegistry.report(id).isPresent());
+        mBroadcasts.retain(id -> mRegistry.report(id).isPresent());
         Targets.Builder lapsed = Targets.newBuilder();
         for (TargetReport report : mRegistry.lapse(mLapseMillis, now)) {
             mLog.onLapsed(report, mLapseMillis);
             lapsed.addTargets(TargetFrames.encode(report.key(), Target.Standing.LAPSED));
-            mToSave = true;
+            mSaveNeeded = true;
         }
         if (lapsed.getTargetsCount() > 0) {
-            mEntries.accept(lapsed.build());
+            mToEntries.accept(lapsed.build());
         }
-        noteEnded();
+        processRemovedTargets();
     }
 
-    private void forgetRemembered() {
-        Targets.Builder forgotten = Targets.newBuilder();
+    private void expireRestored() {
+        Targets.Builder expired = Targets.newBuilder();
         for (String id : mRegistry.removeRestored()) {
-            mLog.onForgotten(id);
-            forgotten.addTargets(TargetFrames.encode(id, Target.Standing.LAPSED));
-            mToSave = true;
+            mLog.onRestoredExpired(id);
+            expired.addTargets(TargetFrames.encode(id, Target.Standing.LAPSED));
+            mSaveNeeded = true;
         }
-        if (forgotten.getTargetsCount() > 0) {
-            mEntries.accept(forgotten.build());
+        if (expired.getTargetsCount() > 0) {
+            mToEntries.accept(expired.build());
         }
     }
 
-    private void tellAlive(long now) {
+    private void sendLivenessReports(long now) {
         List<Alive> alive = new ArrayList<>();
-        for (String id : mHeardHere) {
+        for (String id : mReportedHere) {
             long age = now - mRegistry.lastSeenAt(id);
             if (mRegistry.report(id).isPresent()) {
                 alive.add(Alive.newBuilder().setId(id).setAgeMs(age).build());
             }
         }
-        mHeardHere.clear();
+        mReportedHere.clear();
         if (!alive.isEmpty()) {
-            mPeers.accept(
+            mToPeers.accept(
                     PeerFrame.newBuilder().setTargets(Targets.newBuilder().addAllAlive(alive)));
         }
     }
 
-    private void tell(Targets news) {
-        mPeers.accept(PeerFrame.newBuilder().setTargets(news));
-        mEntries.accept(news);
+    private void publish(Targets targets) {
+        mToPeers.accept(PeerFrame.newBuilder().setTargets(targets));
+        mToEntries.accept(targets);
     }
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/RestartMemory.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/WarmStartData.java
@@ -51,25 +51,29 @@
  * <p>While all processes are down no request reaches an engine, so what caches kept just before is
  * what they keep after it.
  */
-final class RestartMemory {
+final class WarmStartData {
     private static final String TARGETS = "targets";
     private static final String CACHES = "caches";
     private static final String LEAVES = "leaves";
     private static final String CRASHES = "crashes";
 
     private final DataFolder mFolder;
-    private final DiskQueue mDisk;
+    private final DiskQueue mDiskQueue;
     private final EventLog mLog;
-    private final RefusalLog mRefused;
+    private final RefusalLog mRejectedReports;
     private final String mOwner;
-    private final Set<String> mSaving = new HashSet<>();
-
-    private RestartMemory(
-            DataFolder folder, DiskQueue disk, EventLog log, RefusalLog refused, String owner) {
+    private final Set<String> mWritesInProgress = new HashSet<>();
+
+    private WarmStartData(
+            DataFolder folder,
+            DiskQueue diskQueue,
+            EventLog log,
+            RefusalLog rejectedReports,
+            String owner) {
         mFolder = folder;
-        mDisk = disk;
+        mDiskQueue = diskQueue;
         mLog = log;
-        mRefused = refused;
+        mRejectedReports = rejectedReports;
         mOwner = owner;
     }
 
@@ -78,15 +82,23 @@
      *
      * @param owner the process's address
      */
-    static RestartMemory in(
-            DataFolder folder, ControlLoop loop, EventLog log, RefusalLog refused, String owner) {
-        return on(DiskQueue.create(loop, log), folder, log, refused, owner);
+    static WarmStartData open(
+            DataFolder folder,
+            ControlLoop loop,
+            EventLog log,
+            RefusalLog rejectedReports,
+            String owner) {
+        return withQueue(DiskQueue.create(loop, log), folder, log, rejectedReports, owner);
     }
 
     /** Returns a process's memory in a folder whose writes the given queue carries out. */
-    static RestartMemory on(
-            DiskQueue disk, DataFolder folder, EventLog log, RefusalLog refused, String owner) {
-        return new RestartMemory(folder, disk, log, refused, owner);
+    static WarmStartData withQueue(
+            DiskQueue diskQueue,
+            DataFolder folder,
+            EventLog log,
+            RefusalLog rejectedReports,
+            String owner) {
+        return new WarmStartData(folder, diskQueue, log, rejectedReports, owner);
     }
 
     /** Returns the targets that were stored last. */
@@ -97,7 +109,7 @@
             try {
                 reports.add(TargetFrames.decode(target).asRestored());
             } catch (QuilldykeException e) {
-                mRefused.onRefused(RefusalLog.Source.MEMORY, target.getId(), e);
+                mRejectedReports.onRefused(RefusalLog.Source.MEMORY, target.getId(), e);
             }
         }
         return reports;
@@ -120,7 +132,8 @@
 
     /** Stores targets; returns whether it is done, and not still busy with the write before. */
     boolean saveTargets(List<TargetReport> reports) {
-        List<Target> targets = reports.stream().map(r -> TargetFrames.encode(r, 0)).toList();
+        List<Target> targets =
+                reports.stream().map(report -> TargetFrames.encode(report, 0)).toList();
         return save(TARGETS, Targets.newBuilder().addAllTargets(targets).build());
     }
 
@@ -130,63 +143,66 @@
     }
 
     /** Stores what caches keep; returns as {@link #saveTargets}. */
-    boolean saveCaches(List<CacheNews> whole) {
-        return save(CACHES, Caches.newBuilder().addAllCaches(whole).build());
+    boolean saveCaches(List<CacheNews> contents) {
+        return save(CACHES, Caches.newBuilder().addAllCaches(contents).build());
     }
 
     /** Stores what is known of requests that crash targets; returns as {@link #saveTargets}. */
-    boolean saveCrashes(CrashNews known) {
-        return save(CRASHES, known);
+    boolean saveCrashes(CrashNews crashes) {
+        return save(CRASHES, crashes);
     }
 
     void close() {
-        mDisk.close();
+        mDiskQueue.close();
     }
 
     private boolean save(String name, MessageLite content) {
-        if (!mSaving.add(name)) {
+        if (!mWritesInProgress.add(name)) {
             return false;
         }
-        byte[] bytes = framed(name, mOwner, content);
-        mDisk.submit(() -> mFolder.saveHint(name, bytes), () -> mSaving.remove(name));
+        byte[] bytes = frame(name, mOwner, content);
+        mDiskQueue.submit(
+                () -> mFolder.saveHint(name, bytes), () -> mWritesInProgress.remove(name));
         return true;
     }
 
     /** Returns the form in which a process stores a message. */
-    static byte[] framed(String name, String owner, MessageLite content) {
-        byte[] head = head(name, owner);
+    static byte[] frame(String name, String owner, MessageLite content) {
+        byte[] header = header(name, owner);
         byte[] message = content.toByteArray();
-        return ByteBuffer.allocate(head.length + message.length).put(head).put(message).array();
+        return ByteBuffer.allocate(header.length + message.length).put(header).put(message).array();
     }
 
-    private <T> T load(String name, Parser<T> parser, T none) {
+    private <T> T load(String name, Parser<T> parser, T defaultValue) {
         try {
             byte[] stored = mFolder.loadHint(name);
-            int start = startOfMessage(stored, head(name, mOwner));
-            return start < 0 ? none : parser.parseFrom(stored, start, stored.length - start);
+            int offset = messageOffset(stored, header(name, mOwner));
+            return offset < 0
+                    ? defaultValue
+                    : parser.parseFrom(stored, offset, stored.length - offset);
         } catch (QuilldykeException e) {
             mLog.write(Event.DISK_FAILED, "detail", e.getMessage());
         } catch (InvalidProtocolBufferException e) {
             mLog.write(Event.INVARIANT, "detail", name + ": " + e.getMessage());
         }
-        return none;
+        return defaultValue;
     }
 
     /** Returns where the message begins, or -1 if there is none of this kind and process. */
-    private int startOfMessage(byte[] stored, byte[] head) {
-        boolean isOurs =
-                stored.length >= head.length
-                        && Arrays.equals(stored, 0, head.length, head, 0, head.length);
-        if (!isOurs && stored.length > 0) {
-            mRefused.onRefused(
+    private int messageOffset(byte[] stored, byte[] header) {
+        boolean matches =
+                stored.length >= header.length
+                        && Arrays.equals(stored, 0, header.length, header, 0, header.length);
+        if (!matches && stored.length > 0) {
+            mRejectedReports.onRefused(
                     RefusalLog.Source.MEMORY,
                     "",
                     QuilldykeException.notRun(ResultCode.REPORT_UNREADABLE, "another's memory"));
         }
-        return isOurs ? head.length : -1;
+        return matches ? header.length : -1;
     }
 
-    private static byte[] head(String name, String owner) {
+    private static byte[] header(String name, String owner) {
         return (name + '\n' + owner + '\n').getBytes(StandardCharsets.UTF_8);
     }
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/WeightsKeeper.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/WeightsController.java
@@ -42,40 +42,40 @@
  * <p>One process orders at a time: a new leader first takes a fencing number from the log and waits
  * until the orders of the last one can't be on their way any more.
  */
-final class WeightsKeeper {
+final class WeightsController {
     /** Beyond the wait for the last holder: how far the clocks of two processes may drift. */
-    private static final long MARGIN_MILLIS = 250;
+    private static final long CLOCK_DRIFT_MARGIN_MILLIS = 250;
 
-    private final Group mGroup;
+    private final ReplicaGroup mGroup;
     private final Proposals mProposals;
-    private final TargetSpread mTargets;
-    private final EngineClient mOrders;
+    private final TargetReplication mTargets;
+    private final EngineClient mEngineClient;
     private final NettyLoop mLoop;
     private final LongSupplier mClock;
     private final EventLog mLog;
-    private final Consumer<Loading> mTell;
+    private final Consumer<Loading> mPublishLoading;
     private final long mOrderLeaseMillis;
     private LoadPlanner mPlanner = LoadPlanner.create();
-    private long mFence;
-    private boolean mTakingFence;
-    private boolean mHolds;
+    private long mFencingNumber;
+    private boolean mFencingNumberRequested;
+    private boolean mHasOrderRight;
 
-    WeightsKeeper(Parts parts) {
+    WeightsController(Dependencies parts) {
         mGroup = parts.group();
         mProposals = parts.proposals();
         mTargets = parts.targets();
-        mOrders = parts.orders();
+        mEngineClient = parts.engineClient();
         mLoop = parts.loop();
         mClock = parts.clock();
         mLog = parts.log();
-        mTell = parts.tell();
+        mPublishLoading = parts.publishLoading();
         mOrderLeaseMillis = parts.orderLeaseMillis();
     }
 
     /** Notes that this process leads, or leads no longer. */
     void onLeadership(boolean leads) {
-        mFence = 0;
-        mHolds = false;
+        mFencingNumber = 0;
+        mHasOrderRight = false;
         if (!leads) {
             mPlanner.stop().forEach(this::perform);
             mPlanner = LoadPlanner.create();
@@ -83,85 +83,85 @@
     }
 
     /** Does what is due to bring all engines to the given weights, but those that are silent. */
-    void tick(Map<String, Long> wanted, EngineFleet fleet) {
-        if (wanted.isEmpty() || !mayOrder()) {
+    void tick(Map<String, Long> wantedVersions, EngineFleet fleet) {
+        if (wantedVersions.isEmpty() || !mayOrder()) {
             return;
         }
-        if (mFence == 0) {
-            takeFence();
+        if (mFencingNumber == 0) {
+            requestFencingNumber();
             return;
         }
-        if (!mHolds) {
-            mHolds = true;
-            mLog.write(Event.ORDER_RIGHT, "fence", mFence);
+        if (!mHasOrderRight) {
+            mHasOrderRight = true;
+            mLog.write(Event.ORDER_RIGHT, "fence", mFencingNumber);
         }
-        mPlanner.tick(fleet, wanted, mClock.getAsLong()).forEach(this::perform);
+        mPlanner.tick(fleet, wantedVersions, mClock.getAsLong()).forEach(this::perform);
     }
 
     private boolean mayOrder() {
         return mGroup.node().holdsLease()
-                && mGroup.node().leadingFor() > mOrderLeaseMillis + MARGIN_MILLIS;
+                && mGroup.node().leadingFor() > mOrderLeaseMillis + CLOCK_DRIFT_MARGIN_MILLIS;
     }
 
-    private void takeFence() {
-        if (mTakingFence) {
+    private void requestFencingNumber() {
+        if (mFencingNumberRequested) {
             return;
         }
-        mTakingFence = true;
+        mFencingNumberRequested = true;
         mProposals
                 .propose(new FleetCommand.TakeFence(mGroup.selfId()))
                 .whenComplete(
                         (result, e) -> {
-                            mTakingFence = false;
+                            mFencingNumberRequested = false;
                             if (e == null && mGroup.leads()) {
-                                mFence = result.index();
+                                mFencingNumber = result.index();
                             }
                         });
     }
 
     private void perform(LoadAction action) {
         if (action instanceof LoadAction.AnnounceLoading announce) {
-            tell(announce.target(), true, "", 0);
-        } else if (action instanceof LoadAction.ReturnToService release) {
-            onRelease(release);
-        } else if (action instanceof LoadAction.QueryStatus ask) {
-            ask(ask.target());
+            publishLoading(announce.target(), true, "", 0);
+        } else if (action instanceof LoadAction.ReturnToService returnToService) {
+            onReturnToService(returnToService);
+        } else if (action instanceof LoadAction.QueryStatus query) {
+            queryStatus(query.target());
         } else if (action instanceof LoadAction.Order order) {
-            order(order);
+            sendOrder(order);
         }
     }
 
-    private void onRelease(LoadAction.ReturnToService release) {
-        if (release.version() > 0) {
-            mTargets.onWeights(release.target(), release.model(), release.version());
+    private void onReturnToService(LoadAction.ReturnToService action) {
+        if (action.version() > 0) {
+            mTargets.onWeights(action.target(), action.model(), action.version());
             mLog.write(
                     Event.WEIGHTS_LOADED,
                     "target",
-                    release.target(),
+                    action.target(),
                     "model",
-                    release.model(),
+                    action.model(),
                     "version",
-                    release.version());
+                    action.version());
         }
-        tell(release.target(), false, release.model(), release.version());
+        publishLoading(action.target(), false, action.model(), action.version());
     }
 
-    private void tell(String target, boolean loading, String model, long version) {
-        Loading.Builder news = Loading.newBuilder().setTarget(target).setLoading(loading);
+    private void publishLoading(String target, boolean loading, String model, long version) {
+        Loading.Builder message = Loading.newBuilder().setTarget(target).setLoading(loading);
         if (version > 0) {
-            news.setWeights(ModelWeights.newBuilder().setModel(model).setVersion(version));
+            message.setWeights(ModelWeights.newBuilder().setModel(model).setVersion(version));
         }
-        mTell.accept(news.build());
+        mPublishLoading.accept(message.build());
     }
 
-    private void ask(String target) {
+    private void queryStatus(String target) {
         Optional<String> address = addressOf(target);
         if (address.isEmpty()) {
             mPlanner.onStatusUnavailable(target, mClock.getAsLong()).forEach(this::perform);
             return;
         }
         LoadPlanner planner = mPlanner;
-        mOrders.requestStatus(
+        mEngineClient.requestStatus(
                 address.get(), status -> mLoop.execute(() -> onStatus(planner, target, status)));
     }
 
@@ -177,7 +177,7 @@
         }
     }
 
-    private void order(LoadAction.Order action) {
+    private void sendOrder(LoadAction.Order action) {
         Optional<String> address = addressOf(action.target());
         if (address.isEmpty()) {
             return;
@@ -191,7 +191,7 @@
                 "version",
                 action.version(),
                 "fence",
-                mFence,
+                mFencingNumber,
                 "revision",
                 action.revision());
         LoadOrder order =
@@ -200,16 +200,16 @@
                         action.model(),
                         action.version(),
                         mGroup.selfId(),
-                        mFence,
+                        mFencingNumber,
                         action.revision());
         LoadPlanner planner = mPlanner;
-        mOrders.sendOrder(
+        mEngineClient.sendOrder(
                 address.get(),
                 order,
-                outcome -> mLoop.execute(() -> onOrdered(planner, action.target(), outcome)));
+                outcome -> mLoop.execute(() -> onOrderOutcome(planner, action.target(), outcome)));
     }
 
-    private void onOrdered(LoadPlanner planner, String target, OrderOutcome outcome) {
+    private void onOrderOutcome(LoadPlanner planner, String target, OrderOutcome outcome) {
         if (outcome != OrderOutcome.ACCEPTED) {
             mLog.write(Event.ORDER_FAILED, "target", target, "outcome", outcome);
         }
@@ -231,21 +231,21 @@
      * @param group tells whether this process leads
      * @param proposals has commands committed
      * @param targets the engines
-     * @param orders speaks to engines
+     * @param engineClient speaks to engines
      * @param loop the control thread
      * @param clock monotonic milliseconds
      * @param log where events go
-     * @param tell tells all instances about an engine that loads
+     * @param publishLoading tells all instances about an engine that loads
      * @param orderLeaseMillis how long a new holder of the right to order waits
      */
-    record Parts(
-            Group group,
+    record Dependencies(
+            ReplicaGroup group,
             Proposals proposals,
-            TargetSpread targets,
-            EngineClient orders,
+            TargetReplication targets,
+            EngineClient engineClient,
             NettyLoop loop,
             LongSupplier clock,
             EventLog log,
-            Consumer<Loading> tell,
+            Consumer<Loading> publishLoading,
             long orderLeaseMillis) {}
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/operator/ControlServer.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/operator/ControlServer.java
@@ -138,7 +138,7 @@
         } else if (call instanceof ControlCall.Leave leave) {
             return onControl(() -> acknowledged(mNode.onLeave(leave.target())));
         }
-        return onControl(mNode::read);
+        return onControl(mNode::readManifest);
     }
 
     private CompletableFuture<byte[]> onReport(ControlCall.Report report) {
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/FleetRatesTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/FleetRatesTest.java
@@ -58,8 +58,8 @@
         assertThat(told)
                 .containsAtLeast(
                         "StreamLink.BEAT_MILLIS",
-                        "TargetSpread.ALIVE_MILLIS",
-                        "TargetSpread.REFRESH_MILLIS",
+                        "TargetReplication.LIVENESS_REPORT_MILLIS",
+                        "TargetReplication.REFRESH_MILLIS",
                         "EntrySessions.LOADS_REFRESH_MILLIS",
                         "ControlNode.HEARTBEAT_MILLIS");
     }
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/ControlNodeTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/ControlNodeTest.java
@@ -82,14 +82,14 @@
  */
 class ControlNodeTest {
     private static final String ADDRESS = "127.0.0.1:9";
-    private static final String TARGETS = "hint-targets";
-    private static final String CACHES = "hint-caches";
+    private static final String TARGETS_FILE = "hint-targets";
+    private static final String CACHES_FILE = "hint-caches";
     private static final String MODEL = "m";
-    private static final long AGREED = 2;
-    private static final long AGREED_INDEX = 8;
-    private static final long HINTED = 9;
+    private static final long COMMITTED_VERSION = 2;
+    private static final long COMMITTED_INDEX = 8;
+    private static final long CACHED_VERSION = 9;
     private static final byte[] DOCUMENT = {4, 2};
-    private static final long AWAIT_MILLIS = 5000;
+    private static final long AWAIT_TIMEOUT_MILLIS = 5000;
     private static final Membership MEMBERS =
             Membership.ofVoters(
                     List.of(
@@ -102,9 +102,9 @@
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final NettyLoop mLoop = new NettyLoop(mGroup.next());
     private final EventLog mLog = EventLog.of("test");
-    private final RefusalLog mRefused =
+    private final RefusalLog mRejectedReports =
             RefusalLog.create(new MetricRegistry(), mLog, ControlNodeTest::now);
-    private final List<ControlFrame> mTold = new CopyOnWriteArrayList<>();
+    private final List<ControlFrame> mSentFrames = new CopyOnWriteArrayList<>();
     private ControlNode mNode;
 
     @AfterEach
@@ -128,133 +128,135 @@
      * seconds.
      */
     @Test
-    void entryThatComesBackHearsThatNothingIsOpenElsewhere() throws Exception {
+    void returningEntryIsSentEmptyLoads() throws Exception {
         start();
-        Told told = new Told();
-        SessionServer.EntrySession entry = onLoop(() -> mNode.onSubscriber(told));
-        SessionServer.EntrySession other = onLoop(() -> mNode.onSubscriber(new Told()));
+        RecordingStream frames = new RecordingStream();
+        SessionServer.EntrySession entry = onLoop(() -> mNode.onSubscriber(frames));
+        SessionServer.EntrySession other = onLoop(() -> mNode.onSubscriber(new RecordingStream()));
         TargetLoad open = TargetLoad.newBuilder().setTarget("t").setRequests(12).build();
-        tell(entry, hello("a"), question(true));
-        tell(other, hello("b"), question(true), loads(open));
-        awaitLoads(told, List.of(open));
+        sendFrames(entry, hello("a"), question(true));
+        sendFrames(other, hello("b"), question(true), loads(open));
+        awaitLoads(frames, List.of(open));
 
-        tell(entry, question(false));
-        tell(other, loads());
-        tell(entry, question(true));
+        sendFrames(entry, question(false));
+        sendFrames(other, loads());
+        sendFrames(entry, question(true));
 
-        awaitLoads(told, List.of());
+        awaitLoads(frames, List.of());
     }
 
     /** An emptied machine, or one whose folder outlived its log, may hold hints of a later time. */
     @Test
-    void hintsWithoutALogMakeNoState() throws Exception {
-        saveHints(HINTED);
+    void cachedFilesWithoutALogCreateNoState() throws Exception {
+        saveCachedFiles(CACHED_VERSION);
 
         start();
 
         assertThat(configurations()).isEmpty();
-        assertThat(toldTargets()).containsExactly(HINTED);
-        assertCode(mNode.read(), ResultCode.READ_UNCONFIRMED);
-        assertCode(mNode.nameWeights(MODEL, HINTED), ResultCode.NO_LEADER);
-        assertThat(onLoop(() -> mNode.isInTouch())).isFalse();
+        assertThat(sentTargetVersions()).containsExactly(CACHED_VERSION);
+        assertCode(mNode.readManifest(), ResultCode.READ_UNCONFIRMED);
+        assertCode(mNode.nameWeights(MODEL, CACHED_VERSION), ResultCode.NO_LEADER);
+        assertThat(onLoop(() -> mNode.hasRecentLeader())).isFalse();
     }
 
     @Test
-    void hintsOfALaterTimeLeaveTheAgreedStateAsItIs() throws Exception {
-        saveAgreed();
-        saveHints(HINTED);
+    void newerCachedFilesDoNotChangeCommittedState() throws Exception {
+        saveCommittedState();
+        saveCachedFiles(CACHED_VERSION);
 
         start();
 
-        assertAgreed();
-        assertThat(toldTargets()).containsExactly(HINTED);
-        assertCode(mNode.nameWeights(MODEL, AGREED + 1), ResultCode.NO_LEADER);
+        assertCommittedState();
+        assertThat(sentTargetVersions()).containsExactly(CACHED_VERSION);
+        assertCode(mNode.nameWeights(MODEL, COMMITTED_VERSION + 1), ResultCode.NO_LEADER);
     }
 
     @Test
-    void hintsOfAnEarlierTimeLeaveTheAgreedStateAsItIs() throws Exception {
-        saveAgreed();
-        saveHints(AGREED - 1);
+    void olderCachedFilesDoNotChangeCommittedState() throws Exception {
+        saveCommittedState();
+        saveCachedFiles(COMMITTED_VERSION - 1);
 
         start();
 
-        assertAgreed();
-        assertThat(toldTargets()).containsExactly(AGREED - 1);
+        assertCommittedState();
+        assertThat(sentTargetVersions()).containsExactly(COMMITTED_VERSION - 1);
     }
 
     @Test
-    void whatAReplicaFindsDoesNotHangOnItsHints() throws Exception {
-        saveAgreed();
-        DurableState agreed = open();
+    void recoveredStateDoesNotDependOnCachedFiles() throws Exception {
+        saveCommittedState();
+        DurableState committed = open();
         Random random = new Random(7);
         List<Path> sources = new ArrayList<>();
         for (String name : List.of("snapshot", "log", "ballot", "identity")) {
             sources.add(mFolder.resolve(name));
         }
         for (int i = 0; i < 60; i++) {
-            saveHints(random.nextInt(20));
-            for (String name : List.of(TARGETS, CACHES)) {
-                byte[] whole = Files.readAllBytes(mFolder.resolve(name));
+            saveCachedFiles(random.nextInt(20));
+            for (String name : List.of(TARGETS_FILE, CACHES_FILE)) {
+                byte[] original = Files.readAllBytes(mFolder.resolve(name));
                 byte[] other = Files.readAllBytes(sources.get(random.nextInt(sources.size())));
-                Files.write(mFolder.resolve(name), bent(whole, other, random));
+                Files.write(mFolder.resolve(name), corrupted(original, other, random));
             }
 
-            DurableState found = open();
-            RestartMemory memory =
-                    RestartMemory.in(DataFolder.open(mFolder), mLoop, mLog, mRefused, ADDRESS);
-            memory.targets()
+            DurableState recovered = open();
+            WarmStartData warmStart =
+                    WarmStartData.open(
+                            DataFolder.open(mFolder), mLoop, mLog, mRejectedReports, ADDRESS);
+            warmStart
+                    .targets()
                     .forEach(
                             report ->
                                     assertWithMessage("remembered only")
                                             .that(report.isRestored())
                                             .isTrue());
-            memory.caches();
-            memory.close();
-
-            assertThat(found.ballot()).isEqualTo(agreed.ballot());
-            assertThat(found.snapshotIndex()).isEqualTo(agreed.snapshotIndex());
-            assertThat(found.snapshot()).isEqualTo(agreed.snapshot());
-            assertThat(found.snapshotMembership()).isEqualTo(MEMBERS);
-            assertThat(found.entries()).hasSize(1);
+            warmStart.caches();
+            warmStart.close();
+
+            assertThat(recovered.ballot()).isEqualTo(committed.ballot());
+            assertThat(recovered.snapshotIndex()).isEqualTo(committed.snapshotIndex());
+            assertThat(recovered.snapshot()).isEqualTo(committed.snapshot());
+            assertThat(recovered.snapshotMembership()).isEqualTo(MEMBERS);
+            assertThat(recovered.entries()).hasSize(1);
         }
         start();
-        assertAgreed();
+        assertCommittedState();
     }
 
     /** Returns a hint that is whole, torn, flipped, or a file of what was agreed. */
-    private static byte[] bent(byte[] whole, byte[] other, Random random) {
-        byte[] bent = whole.clone();
+    private static byte[] corrupted(byte[] original, byte[] other, Random random) {
+        byte[] corrupted = original.clone();
         switch (random.nextInt(4)) {
-            case 0 -> bent = Arrays.copyOf(whole, random.nextInt(whole.length));
-            case 1 -> bent[random.nextInt(bent.length)] ^= 0x10;
-            case 2 -> bent = other;
+            case 0 -> corrupted = Arrays.copyOf(original, random.nextInt(original.length));
+            case 1 -> corrupted[random.nextInt(corrupted.length)] ^= 0x10;
+            case 2 -> corrupted = other;
             default -> {
                 // As it was stored.
             }
         }
-        return bent;
+        return corrupted;
     }
 
-    private void assertAgreed() throws Exception {
+    private void assertCommittedState() throws Exception {
         // It is told to a new entry, and to all soon after a start: always the agreed one.
         assertThat(configurations()).isNotEmpty();
         for (ControlFrame frame : configurations()) {
-            Configuration told = frame.getConfiguration();
-            assertThat(told.getIndex()).isEqualTo(AGREED_INDEX);
-            assertThat(told.getDocument().toByteArray()).isEqualTo(DOCUMENT);
-            assertThat(told.getWeightsCount()).isEqualTo(1);
-            assertThat(told.getWeights(0).getVersion()).isEqualTo(AGREED);
+            Configuration configuration = frame.getConfiguration();
+            assertThat(configuration.getIndex()).isEqualTo(COMMITTED_INDEX);
+            assertThat(configuration.getDocument().toByteArray()).isEqualTo(DOCUMENT);
+            assertThat(configuration.getWeightsCount()).isEqualTo(1);
+            assertThat(configuration.getWeights(0).getVersion()).isEqualTo(COMMITTED_VERSION);
         }
-        assertCode(mNode.read(), ResultCode.READ_UNCONFIRMED);
+        assertCode(mNode.readManifest(), ResultCode.READ_UNCONFIRMED);
     }
 
     private List<ControlFrame> configurations() {
-        return mTold.stream().filter(ControlFrame::hasConfiguration).toList();
+        return mSentFrames.stream().filter(ControlFrame::hasConfiguration).toList();
     }
 
-    private List<Long> toldTargets() throws QuilldykeException {
+    private List<Long> sentTargetVersions() throws QuilldykeException {
         List<Target> live =
-                mTold.stream()
+                mSentFrames.stream()
                         .filter(ControlFrame::hasTargets)
                         .flatMap(frame -> frame.getTargets().getTargetsList().stream())
                         .filter(target -> target.getStanding() == Target.Standing.LIVE)
@@ -266,32 +268,39 @@
         return List.copyOf(weights);
     }
 
-    private void saveAgreed() throws Exception {
+    private void saveCommittedState() throws Exception {
         DataFolder folder = DataFolder.open(mFolder);
         folder.load();
         folder.saveIdentity(FleetJson.encode(new ReplicaIdentity(ADDRESS + "/first", MEMBERS)));
         folder.saveBallot(new Ballot(3, "", true));
         FleetState.Snapshot state =
                 new FleetState.Snapshot(
-                        5, DOCUMENT, AGREED_INDEX, new TreeMap<>(Map.of(MODEL, AGREED)));
-        byte[] beyond = FleetJson.encode(new FleetCommand.NameWeights(MODEL, HINTED));
+                        5,
+                        DOCUMENT,
+                        COMMITTED_INDEX,
+                        new TreeMap<>(Map.of(MODEL, COMMITTED_VERSION)));
+        byte[] uncommitted = FleetJson.encode(new FleetCommand.NameWeights(MODEL, CACHED_VERSION));
         folder.saveSnapshot(
                 new Compaction(
-                        8, 3, MEMBERS, FleetJson.encode(state), List.of(new LogEntry(3, beyond))));
+                        8,
+                        3,
+                        MEMBERS,
+                        FleetJson.encode(state),
+                        List.of(new LogEntry(3, uncommitted))));
         folder.close();
     }
 
-    private void saveHints(long weights) throws Exception {
+    private void saveCachedFiles(long weights) throws Exception {
         TargetReport report =
                 new TargetReport(
                         "e", "s", "127.0.0.1:1", "z", "v", 4, false, 0, Map.of(MODEL, weights), 77);
         Targets targets = Targets.newBuilder().addTargets(TargetFrames.encode(report, 0)).build();
-        CacheNews news =
+        CacheNews update =
                 CacheNews.newBuilder().setHolder("e").setUp(true).addAdded(weights).build();
         DataFolder folder = DataFolder.open(mFolder);
-        Caches caches = Caches.newBuilder().addCaches(news).build();
-        folder.saveHint("targets", RestartMemory.framed("targets", ADDRESS, targets));
-        folder.saveHint("caches", RestartMemory.framed("caches", ADDRESS, caches));
+        Caches caches = Caches.newBuilder().addCaches(update).build();
+        folder.saveHint("targets", WarmStartData.frame("targets", ADDRESS, targets));
+        folder.saveHint("caches", WarmStartData.frame("caches", ADDRESS, caches));
     }
 
     private DurableState open() throws Exception {
@@ -303,8 +312,8 @@
                         new SplittableRandom(1),
                         mLog);
         assertThat(opened.identity().id()).isEqualTo(ADDRESS + "/first");
-        assertThat(opened.identity().initial()).isEqualTo(MEMBERS);
-        return opened.disk();
+        assertThat(opened.identity().initialMembership()).isEqualTo(MEMBERS);
+        return opened.durableState();
     }
 
     /** Starts the process, and an entry that listens to it. */
@@ -322,11 +331,11 @@
                                                     mGroup.next(),
                                                     null,
                                                     ControlNodeTest::now,
-                                                    mRefused),
-                                            new NoDialect(),
-                                            mRefused,
+                                                    mRejectedReports),
+                                            new UnreadableDialect(),
+                                            mRejectedReports,
                                             now());
-                            node.onSubscriber(new Told())
+                            node.onSubscriber(new RecordingStream())
                                     .onFrame(
                                             EntryFrame.newBuilder()
                                                     .setHello(Hello.newBuilder().setEntry("entry"))
@@ -350,7 +359,8 @@
     }
 
     /** Hands frames of an entry to the node, as its stream does. */
-    private void tell(SessionServer.EntrySession entry, EntryFrame... frames) throws Exception {
+    private void sendFrames(SessionServer.EntrySession entry, EntryFrame... frames)
+            throws Exception {
         onLoop(
                 () -> {
                     List.of(frames).forEach(entry::onFrame);
@@ -359,9 +369,9 @@
     }
 
     /** Waits until an entry was told something of others' loads last. */
-    private static void awaitLoads(Told entry, List<TargetLoad> loads) throws Exception {
-        long until = now() + AWAIT_MILLIS;
-        while (!entry.mOthersLoads.equals(Optional.of(loads)) && now() < until) {
+    private static void awaitLoads(RecordingStream entry, List<TargetLoad> loads) throws Exception {
+        long deadline = now() + AWAIT_TIMEOUT_MILLIS;
+        while (!entry.mOthersLoads.equals(Optional.of(loads)) && now() < deadline) {
             Thread.sleep(10);
         }
         assertThat(entry.mOthersLoads).hasValue(loads);
@@ -399,12 +409,12 @@
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 
-    private final class Told implements StreamObserver<ControlFrame> {
+    private final class RecordingStream implements StreamObserver<ControlFrame> {
         volatile Optional<List<TargetLoad>> mOthersLoads = Optional.empty();
 
         @Override
         public void onNext(ControlFrame frame) {
-            mTold.add(frame);
+            mSentFrames.add(frame);
             if (frame.hasLoads()) {
                 mOthersLoads = Optional.of(frame.getLoads().getTargetsList());
             }
@@ -422,7 +432,7 @@
     }
 
     /** Manifests that no one can read, since none is looked at. */
-    private static final class NoDialect implements ControlDialect {
+    private static final class UnreadableDialect implements ControlDialect {
         @Override
         public ControlCall read(String method, String path, byte[] body) throws QuilldykeException {
             throw QuilldykeException.notRun(ResultCode.UNKNOWN_PATH, "");
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/CrashSpreadTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/CrashReplicationTest.java
@@ -43,10 +43,10 @@
 import org.quilldyke.gateway.instance.proto.SuspectRequest;
 
 /** What a control process makes of crashes that entries have seen, and tells of it. */
-class CrashSpreadTest {
+class CrashReplicationTest {
     private static final RequestFingerprint CRASHING = new RequestFingerprint(1, 1);
-    private static final int REQUESTS_OF_A_CRASH = 32;
-    private static final long SAVED_NANOS = 5_000_000_000L;
+    private static final int REQUESTS_PER_CRASH = 32;
+    private static final long SAVE_TIMEOUT_NANOS = 5_000_000_000L;
 
     @TempDir Path mFolder;
     private final MultiThreadIoEventLoopGroup mGroup =
@@ -54,32 +54,33 @@
     private final EventLog mLog = EventLog.of("test");
     private final List<CrashNews> mToPeers = new ArrayList<>();
     private final List<SuspectRequest> mToEntries = new ArrayList<>();
-    private RestartMemory mMemory;
-    private CrashSpread mSpread;
+    private WarmStartData mWarmStart;
+    private CrashReplication mReplication;
     private long mNow;
 
     @BeforeEach
     void start() throws Exception {
         NettyLoop loop = new NettyLoop(mGroup.next());
         RefusalLog refused = RefusalLog.create(new MetricRegistry(), mLog, () -> mNow);
-        mMemory = RestartMemory.in(DataFolder.open(mFolder), loop, mLog, refused, "127.0.0.1:1");
-        mSpread =
-                new CrashSpread(
+        mWarmStart =
+                WarmStartData.open(DataFolder.open(mFolder), loop, mLog, refused, "127.0.0.1:1");
+        mReplication =
+                new CrashReplication(
                         frame -> mToPeers.add(frame.build().getCrashes()),
                         news -> mToEntries.addAll(news.getSuspectsList()),
                         () -> mNow,
                         mLog,
-                        mMemory);
+                        mWarmStart);
     }
 
     @AfterEach
     void stop() {
-        mMemory.close();
+        mWarmStart.close();
         mGroup.shutdownGracefully();
     }
 
     @Test
-    void whatAnEntryHasSeenGoesOnToPeersAndItsConclusionToEntries() {
+    void entryReportsGoToPeersAndSuspectsToEntries() {
         crash("a");
         crash("b");
         crash("c");
@@ -92,84 +93,84 @@
     }
 
     @Test
-    void whatAPeerTellsIsConcludedFromAndNotToldOn() {
-        mSpread.onPeerNews(news("a"));
-        mSpread.onPeerNews(news("b"));
-        mSpread.onPeerNews(news("c"));
+    void peerReportsAreEvaluatedAndNotForwarded() {
+        mReplication.onPeerReport(report("a"));
+        mReplication.onPeerReport(report("b"));
+        mReplication.onPeerReport(report("c"));
 
         assertThat(mToPeers).isEmpty();
         assertThat(standings()).contains(SuspectRequest.Standing.REFUSED);
     }
 
     @Test
-    void requestThatRanToItsEndIsCleared() {
+    void completedRequestIsCleared() {
         crash("a");
         crash("b");
         crash("c");
 
-        mSpread.onEntryNews(
+        mReplication.onEntryReport(
                 CrashNews.newBuilder()
                         .addCompletions(CrashFrames.encode(CRASHING, mNow, mNow))
                         .build());
 
         assertThat(standings().get(2)).isEqualTo(SuspectRequest.Standing.CLEARED);
-        assertThat(mSpread.conclusions().getSuspectsList()).isEmpty();
+        assertThat(mReplication.suspects().getSuspectsList()).isEmpty();
     }
 
     @Test
-    void refusalIsKnownAfterARestart() throws Exception {
+    void refusalSurvivesARestart() throws Exception {
         crash("a");
         crash("b");
         crash("c");
         mNow = 1000;
-        mSpread.tick();
-        long until = System.nanoTime() + SAVED_NANOS;
-        while (!Files.exists(mFolder.resolve("hint-crashes")) && System.nanoTime() < until) {
+        mReplication.tick();
+        long deadline = System.nanoTime() + SAVE_TIMEOUT_NANOS;
+        while (!Files.exists(mFolder.resolve("hint-crashes")) && System.nanoTime() < deadline) {
             Thread.sleep(5);
         }
-        mMemory.close();
+        mWarmStart.close();
         mToEntries.clear();
         mNow = 7;
         start();
 
         assertThat(standings()).containsExactly(SuspectRequest.Standing.REFUSED);
-        assertThat(mSpread.conclusions().getSuspectsList()).hasSize(1);
+        assertThat(mReplication.suspects().getSuspectsList()).hasSize(1);
     }
 
     @Test
-    void processThatHasLostItsMemoryIsToldByEntriesAndPeers() throws Exception {
+    void processThatLostItsDataRecoversFromEntriesAndPeers() throws Exception {
         crash("a");
         crash("b");
         crash("c");
-        CrashNews atEntries = mSpread.conclusions();
-        CrashNews atPeers = mSpread.all().orElseThrow();
+        CrashNews atEntries = mReplication.suspects();
+        CrashNews atPeers = mReplication.snapshotForPeers().orElseThrow();
 
         start();
-        mSpread.onEntryNews(atEntries);
-        assertThat(mSpread.conclusions().getSuspectsCount()).isEqualTo(1);
+        mReplication.onEntryReport(atEntries);
+        assertThat(mReplication.suspects().getSuspectsCount()).isEqualTo(1);
 
         start();
-        mSpread.onPeerNews(atPeers);
-        assertThat(mSpread.conclusions().getSuspectsCount()).isEqualTo(1);
+        mReplication.onPeerReport(atPeers);
+        assertThat(mReplication.suspects().getSuspectsCount()).isEqualTo(1);
     }
 
     @Test
-    void crashAndRefusalCostAFrameOfHundredsOfBytesEach() {
+    void crashAndRefusalFramesStaySmall() {
         Set<RequestFingerprint> requests =
-                IntStream.range(0, REQUESTS_OF_A_CRASH)
+                IntStream.range(0, REQUESTS_PER_CRASH)
                         .mapToObj(i -> new RequestFingerprint(-i - 1, i + 1))
                         .collect(Collectors.toSet());
         TargetCrash crash = new TargetCrash("i-0123456789#1796278568028", requests, 0);
-        CrashNews news = CrashNews.newBuilder().addCrashes(CrashFrames.encode(crash, 20)).build();
-        int crashBytes = PeerFrame.newBuilder().setCrashes(news).build().getSerializedSize();
+        CrashNews report = CrashNews.newBuilder().addCrashes(CrashFrames.encode(crash, 20)).build();
+        int crashBytes = PeerFrame.newBuilder().setCrashes(report).build().getSerializedSize();
         crash("i-0123456780#1796278568028");
         crash("i-0123456781#1796278568028");
         crash("i-0123456782#1796278568028");
-        int refusalBytes = mSpread.conclusions().getSerializedSize();
+        int refusalBytes = mReplication.suspects().getSerializedSize();
 
         System.out.printf(
                 "crash of %d requests: %d bytes, refusal: %d bytes%n",
-                REQUESTS_OF_A_CRASH, crashBytes, refusalBytes);
+                REQUESTS_PER_CRASH, crashBytes, refusalBytes);
         assertThat(crashBytes).isLessThan(1000);
         assertThat(refusalBytes).isLessThan(200);
     }
@@ -179,10 +180,10 @@
     }
 
     private void crash(String target) {
-        mSpread.onEntryNews(news(target));
+        mReplication.onEntryReport(report(target));
     }
 
-    private CrashNews news(String target) {
+    private CrashNews report(String target) {
         TargetCrash crash = new TargetCrash(target, Set.of(CRASHING), mNow);
         return CrashNews.newBuilder().addCrashes(CrashFrames.encode(crash, mNow)).build();
     }
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/LossRun.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/DiskLossRun.java
@@ -44,45 +44,45 @@
  * acknowledged before it, that no two machines ever apply different entries, and that the group
  * works again and is complete again in time.
  */
-final class LossRun {
+final class DiskLossRun {
     private static final int ROUNDS = 3;
-    private static final String PIECES = "piece of a snapshot sent";
-    private static final long STARTED_BY = 8000;
-    private static final long LATE_START = 9000;
+    private static final String CHUNK_SENT = "piece of a snapshot sent";
+    private static final long START_TIMEOUT_MILLIS = 8000;
+    private static final long LATE_START_MILLIS = 9000;
 
     /** For so long a machine counts as lost after its start (sheets). */
-    private static final long CATCH_UP = 6000;
+    private static final long CATCH_UP_MILLIS = 6000;
 
-    private static final long RECOVERED_WITHIN = 12_000;
-    private static final int LARGEST_DOCUMENT = 24 << 10;
+    private static final long RECOVERY_TIMEOUT_MILLIS = 12_000;
+    private static final int MAX_DOCUMENT_BYTES = 24 << 10;
 
     private final int mTolerated;
     private final Random mRandom;
     private final CheckReport mReport;
     private final FakeNetwork mNetwork;
-    private final Kind mKind;
-    private final List<LossMachine> mMachines = new ArrayList<>();
-    private final Map<Long, byte[]> mApplied = new HashMap<>();
-    private final Map<Long, String> mLeaders = new HashMap<>();
+    private final Profile mProfile;
+    private final List<SimulatedMachine> mMachines = new ArrayList<>();
+    private final Map<Long, byte[]> mCommandByIndex = new HashMap<>();
+    private final Map<Long, String> mLeaderByTerm = new HashMap<>();
     private final Map<Long, byte[]> mDocuments = new HashMap<>();
     private final Map<String, Long> mAckedWeights = new TreeMap<>();
     private long mNow;
     private long mVersion;
     private long mAckedVersion = -1;
-    private boolean mCalm = true;
+    private boolean mFaultFree = true;
 
-    private LossRun(int machines, int tolerated, Kind kind, long seed) {
-        mTolerated = tolerated;
-        mKind = kind;
+    private DiskLossRun(int machines, int toleratedLosses, Profile profile, long seed) {
+        mTolerated = toleratedLosses;
+        mProfile = profile;
         mRandom = new Random(seed);
         mReport = new CheckReport("losses", seed);
         mNetwork = new FakeNetwork(mRandom, mReport);
         // The first number of neighbouring seeds hardly differs, so nothing is drawn from it.
         mRandom.nextInt();
         for (int i = 0; i < machines; i++) {
-            boolean manySnapshots = kind == Kind.MANY_SNAPSHOTS;
-            LossMachine machine =
-                    new LossMachine(i, tolerated, manySnapshots, this, mReport, mRandom);
+            boolean manySnapshots = profile == Profile.MANY_SNAPSHOTS;
+            SimulatedMachine machine =
+                    new SimulatedMachine(i, toleratedLosses, manySnapshots, this, mReport, mRandom);
             machine.startAt(1 + mRandom.nextInt(300));
             mMachines.add(machine);
         }
@@ -92,17 +92,17 @@
      * Plays a group.
      *
      * @param machines how many have a disk
-     * @param tolerated how many of them may lose it at once
-     * @param kind what is frequent
+     * @param toleratedLosses how many of them may lose it at once
+     * @param profile what is frequent
      * @param seed draws everything
      */
-    static CheckReport play(int machines, int tolerated, Kind kind, long seed) {
-        LossRun run = new LossRun(machines, tolerated, kind, seed);
-        run.awaitComplete(STARTED_BY, "the group is complete after its start");
+    static CheckReport run(int machines, int toleratedLosses, Profile profile, long seed) {
+        DiskLossRun run = new DiskLossRun(machines, toleratedLosses, profile, seed);
+        run.awaitComplete(START_TIMEOUT_MILLIS, "the group is complete after its start");
         for (int round = 0; round < ROUNDS && run.mReport.isGood(); round++) {
-            run.live();
-            run.lose();
-            run.recover();
+            run.publishWithFaults();
+            run.awaitMomentAndLose();
+            run.checkRecovery();
         }
         return run.mReport;
     }
@@ -111,15 +111,15 @@
      * Plays a group that loses disks as soon as it has acknowledged anything, while it still grows.
      *
      * @param machines how many have a disk
-     * @param tolerated how many of them may lose it at once
+     * @param toleratedLosses how many of them may lose it at once
      * @param seed draws everything
      */
-    static CheckReport playFirst(int machines, int tolerated, long seed) {
-        LossRun run = new LossRun(machines, tolerated, Kind.PLAIN, seed);
+    static CheckReport runEarlyLoss(int machines, int toleratedLosses, long seed) {
+        DiskLossRun run = new DiskLossRun(machines, toleratedLosses, Profile.PLAIN, seed);
         run.awaitFirstAcknowledgement();
         if (run.mReport.isGood()) {
-            run.loseFirst();
-            run.recover();
+            run.loseDisksSoon();
+            run.checkRecovery();
         }
         return run.mReport;
     }
@@ -129,19 +129,19 @@
      * many disks once these count as lost no longer.
      *
      * @param machines how many have a disk
-     * @param tolerated how many of them may lose it at once
+     * @param toleratedLosses how many of them may lose it at once
      * @param seed draws everything
      */
-    static CheckReport playLate(int machines, int tolerated, long seed) {
-        LossRun run = new LossRun(machines, tolerated, Kind.PLAIN, seed);
-        List<LossMachine> late = run.mMachines.subList(machines - tolerated, machines);
-        late.forEach(machine -> machine.startAt(LATE_START));
+    static CheckReport runWithLateMachines(int machines, int toleratedLosses, long seed) {
+        DiskLossRun run = new DiskLossRun(machines, toleratedLosses, Profile.PLAIN, seed);
+        List<SimulatedMachine> late = run.mMachines.subList(machines - toleratedLosses, machines);
+        late.forEach(machine -> machine.startAt(LATE_START_MILLIS));
         run.awaitFirstAcknowledgement();
-        run.calm();
-        run.pass(LATE_START + CATCH_UP - run.mNow);
+        run.stopFaults();
+        run.advanceBy(LATE_START_MILLIS + CATCH_UP_MILLIS - run.mNow);
         if (run.mReport.isGood()) {
-            run.loseFirst();
-            run.recover();
+            run.loseDisksSoon();
+            run.checkRecovery();
         }
         return run.mReport;
     }
@@ -150,23 +150,23 @@
         return mNow;
     }
 
-    void send(LossMachine from, String to, PeerMessage message) {
+    void send(SimulatedMachine from, String to, PeerMessage message) {
         if (message instanceof PeerMessage.SnapshotRequest) {
-            mReport.count(PIECES);
+            mReport.count(CHUNK_SENT);
         }
         mNetwork.send(from.id(), to, message, mNow);
     }
 
-    void join(Membership.Member joiner) {
+    void sendJoinRequest(Membership.Member joiner) {
         mMachines.stream()
-                .filter(machine -> machine.canAct() && machine.node().isLeader())
+                .filter(machine -> machine.isRunning() && machine.node().isLeader())
                 .forEach(leader -> leader.onJoin(joiner));
     }
 
-    void onLeadership(LossMachine machine, boolean leads) {
+    void onLeadership(SimulatedMachine machine, boolean leads) {
         if (leads) {
             long term = machine.node().replica().term();
-            String known = mLeaders.putIfAbsent(term, machine.id());
+            String known = mLeaderByTerm.putIfAbsent(term, machine.id());
             mReport.check(
                     known == null || known.equals(machine.id()),
                     "one leader a term",
@@ -175,7 +175,7 @@
     }
 
     void onApply(String id, long index, byte[] command) {
-        byte[] known = mApplied.putIfAbsent(index, command);
+        byte[] known = mCommandByIndex.putIfAbsent(index, command);
         mReport.check(
                 known == null || Arrays.equals(known, command),
                 "equal entries everywhere",
@@ -195,68 +195,68 @@
         while ((packet = mNetwork.poll(mNow)) != null) {
             deliver(packet);
         }
-        mMachines.forEach(LossMachine::advance);
+        mMachines.forEach(SimulatedMachine::advance);
         mMachines.get(mRandom.nextInt(mMachines.size())).read(mAckedVersion);
-        if (!mCalm && mRandom.nextInt(2000) == 0) {
-            disturb();
+        if (!mFaultFree && mRandom.nextInt(2000) == 0) {
+            injectFault();
         }
-        if (mKind == Kind.BAD_DISKS && !mCalm && mRandom.nextInt(300) == 0) {
-            disturbDisk(mMachines.get(mRandom.nextInt(mMachines.size())));
+        if (mProfile == Profile.FAULTY_DISKS && !mFaultFree && mRandom.nextInt(300) == 0) {
+            injectDiskFault(mMachines.get(mRandom.nextInt(mMachines.size())));
         }
     }
 
     private void deliver(FakeNetwork.Packet packet) {
-        for (LossMachine machine : mMachines) {
-            if (machine.id().equals(packet.to()) && machine.canAct()) {
+        for (SimulatedMachine machine : mMachines) {
+            if (machine.id().equals(packet.to()) && machine.isRunning()) {
                 machine.node().receive(packet.from(), packet.message());
             }
         }
     }
 
-    private void disturb() {
-        LossMachine machine = mMachines.get(mRandom.nextInt(mMachines.size()));
+    private void injectFault() {
+        SimulatedMachine machine = mMachines.get(mRandom.nextInt(mMachines.size()));
         switch (mRandom.nextInt(3)) {
             case 0 -> machine.pauseUntil(mNow + mRandom.nextInt(1500));
             case 1 -> {
-                LossMachine other = mMachines.get(mRandom.nextInt(mMachines.size()));
+                SimulatedMachine other = mMachines.get(mRandom.nextInt(mMachines.size()));
                 mNetwork.cut(machine.id(), other.id());
             }
             default -> {
-                if (machine.canAct()) {
+                if (machine.isRunning()) {
                     machine.node().transferLeadership();
                 }
             }
         }
     }
 
-    private void disturbDisk(LossMachine machine) {
+    private void injectDiskFault(SimulatedMachine machine) {
         switch (mRandom.nextInt(3)) {
             case 0 -> {
                 mReport.count("fault disk full");
-                machine.fillDiskAfter(mRandom.nextInt(2000));
+                machine.limitDiskSpace(mRandom.nextInt(2000));
             }
             case 1 -> {
                 mReport.count("fault disk stalled");
                 machine.stallDiskUntil(mNow + mRandom.nextInt(3000));
             }
-            default -> machine.mendDisk();
+            default -> machine.repairDisk();
         }
     }
 
-    private void calm() {
-        mCalm = true;
+    private void stopFaults() {
+        mFaultFree = true;
         mNetwork.heal();
         mNetwork.setLoss(0);
         mMachines.forEach(machine -> machine.pauseUntil(0));
-        mMachines.forEach(LossMachine::mendDisk);
+        mMachines.forEach(SimulatedMachine::repairDisk);
     }
 
     /** Has operators publish for a while, on a network with faults now and then. */
-    private void live() {
-        mCalm = mRandom.nextInt(3) == 0;
-        mNetwork.setLoss(mCalm ? 0 : 20);
-        long until = mNow + 100 + mRandom.nextInt(1500);
-        while (mNow < until && mReport.isGood()) {
+    private void publishWithFaults() {
+        mFaultFree = mRandom.nextInt(3) == 0;
+        mNetwork.setLoss(mFaultFree ? 0 : 20);
+        long deadline = mNow + 100 + mRandom.nextInt(1500);
+        while (mNow < deadline && mReport.isGood()) {
             advance();
             if (mRandom.nextInt(30) == 0) {
                 publish();
@@ -265,42 +265,42 @@
     }
 
     /** Waits for the moment of the loss, and loses. */
-    private void lose() {
-        if (mKind == Kind.PLAIN || mRandom.nextBoolean()) {
-            awaitMoment();
-        } else if (mKind == Kind.BAD_DISKS) {
-            besideBadDisks();
+    private void awaitMomentAndLose() {
+        if (mProfile == Profile.PLAIN || mRandom.nextBoolean()) {
+            awaitLossMoment();
+        } else if (mProfile == Profile.FAULTY_DISKS) {
+            publishWithDiskFaults();
         } else if (mRandom.nextBoolean()) {
             duringSnapshot();
         } else {
-            duringTransfer();
+            duringSnapshotTransfer();
         }
-        loseNow();
+        loseDisksOrPower();
     }
 
-    private void awaitMoment() {
+    private void awaitLossMoment() {
         switch (mRandom.nextInt(6)) {
             case 0 -> afterAcknowledgement();
             case 4 -> afterRestart();
             case 1 -> {
                 publish();
-                pass(mRandom.nextInt(30));
+                advanceBy(mRandom.nextInt(30));
             }
             case 2 -> duringMembershipChange();
             case 3 -> duringSnapshot();
-            default -> pass(mRandom.nextInt(300));
+            default -> advanceBy(mRandom.nextInt(300));
         }
     }
 
-    private void loseNow() {
-        List<LossMachine> order = new ArrayList<>(mMachines);
+    private void loseDisksOrPower() {
+        List<SimulatedMachine> order = new ArrayList<>(mMachines);
         Collections.shuffle(order, mRandom);
         if (mRandom.nextBoolean()) {
             // The leader's disk is often the one that holds most.
             order.sort(Comparator.comparing(machine -> !machine.leads()));
         }
-        List<LossMachine> emptied = order.subList(0, mTolerated);
-        List<LossMachine> others = order.subList(mTolerated, order.size());
+        List<SimulatedMachine> emptied = order.subList(0, mTolerated);
+        List<SimulatedMachine> others = order.subList(mTolerated, order.size());
         switch (mRandom.nextInt(6)) {
             case 0 -> {
                 mReport.count("loss of disks alone");
@@ -313,7 +313,7 @@
             case 2 -> {
                 mReport.count("kill of all, then loss of disks and of power");
                 order.forEach(this::kill);
-                pass(mRandom.nextInt(1500));
+                advanceBy(mRandom.nextInt(1500));
                 emptied.forEach(this::loseDisk);
                 others.forEach(this::losePower);
             }
@@ -328,7 +328,7 @@
     /** Has an operator send changes from the start on, until one is acknowledged. */
     private void awaitFirstAcknowledgement() {
         mNetwork.setLoss(mRandom.nextBoolean() ? 20 : 0);
-        while (mAckedVersion < 0 && mNow < STARTED_BY && mReport.isGood()) {
+        while (mAckedVersion < 0 && mNow < START_TIMEOUT_MILLIS && mReport.isGood()) {
             advance();
             if (mRandom.nextInt(20) == 0) {
                 publish();
@@ -339,17 +339,17 @@
     }
 
     /** Loses disks, often those of voters, and mostly all others' power, within milliseconds. */
-    private void loseFirst() {
-        pass(mRandom.nextInt(mRandom.nextInt(3) == 0 ? 500 : 5));
-        List<LossMachine> order = new ArrayList<>(mMachines);
+    private void loseDisksSoon() {
+        advanceBy(mRandom.nextInt(mRandom.nextInt(3) == 0 ? 500 : 5));
+        List<SimulatedMachine> order = new ArrayList<>(mMachines);
         Collections.shuffle(order, mRandom);
         if (mRandom.nextInt(3) > 0) {
             order.sort(Comparator.comparing(machine -> !machine.votes()));
         }
-        boolean powerToo = mRandom.nextInt(4) > 0;
-        mReport.count(powerToo ? "loss of disks and of power" : "loss of disks alone");
+        boolean withPowerLoss = mRandom.nextInt(4) > 0;
+        mReport.count(withPowerLoss ? "loss of disks and of power" : "loss of disks alone");
         order.subList(0, mTolerated).forEach(this::loseDisk);
-        if (powerToo) {
+        if (withPowerLoss) {
             order.subList(mTolerated, order.size()).forEach(this::losePower);
         }
     }
@@ -357,140 +357,140 @@
     private void afterAcknowledgement() {
         long acked = mAckedVersion;
         publish();
-        long until = mNow + 1000;
-        while (mAckedVersion == acked && mNow < until) {
+        long deadline = mNow + 1000;
+        while (mAckedVersion == acked && mNow < deadline) {
             advance();
         }
-        pass(mRandom.nextInt(4));
+        advanceBy(mRandom.nextInt(4));
     }
 
     /** Kills a machine while it stores what another one doesn't hear of, and has it go on. */
     private void afterRestart() {
-        List<LossMachine> others = new ArrayList<>(mMachines);
-        others.removeIf(LossMachine::leads);
+        List<SimulatedMachine> others = new ArrayList<>(mMachines);
+        others.removeIf(SimulatedMachine::leads);
         Collections.shuffle(others, mRandom);
         others.subList(0, mTolerated).forEach(machine -> machine.pauseUntil(mNow + 3000));
         long acked = mAckedVersion;
         publish();
-        pass(5 + mRandom.nextInt(20));
-        LossMachine killed = others.get(mTolerated);
+        advanceBy(5 + mRandom.nextInt(20));
+        SimulatedMachine killed = others.get(mTolerated);
         killed.kill();
         killed.startAt(mNow + mRandom.nextInt(100));
-        long until = mNow + 1000;
-        while (mAckedVersion == acked && mNow < until) {
+        long deadline = mNow + 1000;
+        while (mAckedVersion == acked && mNow < deadline) {
             advance();
         }
-        pass(mRandom.nextInt(20));
+        advanceBy(mRandom.nextInt(20));
     }
 
     /** Has a machine be silent until it is replaced, and stops in the middle of that. */
     private void duringMembershipChange() {
-        List<LossMachine> up = new ArrayList<>(mMachines);
+        List<SimulatedMachine> up = new ArrayList<>(mMachines);
         Collections.shuffle(up, mRandom);
-        LossMachine silent = up.get(0);
-        losePower(silent);
-        silent.startAt(mNow + 2000 + mRandom.nextInt(4000));
-        long before = proposed();
+        SimulatedMachine stopped = up.get(0);
+        losePower(stopped);
+        stopped.startAt(mNow + 2000 + mRandom.nextInt(4000));
+        long before = membershipProposals();
         int changes = 1 + mRandom.nextInt(3);
-        long until = mNow + 4000;
-        while (proposed() < before + changes && mNow < until) {
+        long deadline = mNow + 4000;
+        while (membershipProposals() < before + changes && mNow < deadline) {
             advance();
             if (mRandom.nextInt(100) == 0) {
                 publish();
             }
         }
-        pass(mRandom.nextInt(20));
+        advanceBy(mRandom.nextInt(20));
     }
 
-    private long proposed() {
+    private long membershipProposals() {
         return mReport.counts().getOrDefault("membership proposed", 0L);
     }
 
     private void duringSnapshot() {
         long before = snapshots();
-        long until = mNow + (mKind == Kind.MANY_SNAPSHOTS ? 2000 : 100);
-        while (snapshots() <= before && mNow < until) {
+        long deadline = mNow + (mProfile == Profile.MANY_SNAPSHOTS ? 2000 : 100);
+        while (snapshots() <= before && mNow < deadline) {
             advance();
             if (mRandom.nextInt(50) == 0) {
                 publish();
             }
         }
-        pass(mRandom.nextInt(10));
+        advanceBy(mRandom.nextInt(10));
     }
 
     /** Has a machine be away until its peers' logs begin with a snapshot, which is sent to it. */
-    private void duringTransfer() {
-        List<LossMachine> others = new ArrayList<>(mMachines);
-        others.removeIf(LossMachine::leads);
-        LossMachine behind = others.get(mRandom.nextInt(others.size()));
+    private void duringSnapshotTransfer() {
+        List<SimulatedMachine> others = new ArrayList<>(mMachines);
+        others.removeIf(SimulatedMachine::leads);
+        SimulatedMachine behind = others.get(mRandom.nextInt(others.size()));
         losePower(behind);
         behind.startAt(mNow + 500 + mRandom.nextInt(500));
-        long before = mReport.counts().getOrDefault(PIECES, 0L);
-        int pieces = 1 + mRandom.nextInt(6);
-        long until = mNow + 2500;
-        while (mReport.counts().getOrDefault(PIECES, 0L) < before + pieces && mNow < until) {
+        long before = mReport.counts().getOrDefault(CHUNK_SENT, 0L);
+        int chunks = 1 + mRandom.nextInt(6);
+        long deadline = mNow + 2500;
+        while (mReport.counts().getOrDefault(CHUNK_SENT, 0L) < before + chunks && mNow < deadline) {
             advance();
             if (mRandom.nextInt(50) == 0) {
                 publish();
             }
         }
-        pass(mRandom.nextInt(30));
+        advanceBy(mRandom.nextInt(30));
     }
 
     /** Has as many disks refuse or hold up writes as the group must bear, and others store. */
-    private void besideBadDisks() {
-        List<LossMachine> order = new ArrayList<>(mMachines);
+    private void publishWithDiskFaults() {
+        List<SimulatedMachine> order = new ArrayList<>(mMachines);
         Collections.shuffle(order, mRandom);
-        for (LossMachine bad : order.subList(0, mTolerated)) {
+        for (SimulatedMachine faulty : order.subList(0, mTolerated)) {
             if (mRandom.nextBoolean()) {
                 mReport.count("fault disk full");
-                bad.fillDiskAfter(mRandom.nextInt(500));
+                faulty.limitDiskSpace(mRandom.nextInt(500));
             } else {
                 mReport.count("fault disk stalled");
-                bad.stallDiskUntil(mNow + 3000);
+                faulty.stallDiskUntil(mNow + 3000);
             }
         }
         afterAcknowledgement();
     }
 
     private long snapshots() {
-        return mMachines.stream().mapToLong(LossMachine::snapshots).sum();
+        return mMachines.stream().mapToLong(SimulatedMachine::snapshots).sum();
     }
 
-    private void kill(LossMachine machine) {
+    private void kill(SimulatedMachine machine) {
         machine.kill();
         machine.startAt(mNow + mRandom.nextInt(1000));
     }
 
-    private void losePower(LossMachine machine) {
+    private void losePower(SimulatedMachine machine) {
         machine.losePower();
         machine.startAt(mNow + mRandom.nextInt(1000));
     }
 
-    private void loseDisk(LossMachine machine) {
+    private void loseDisk(SimulatedMachine machine) {
         machine.loseDisk();
         machine.startAt(mNow + mRandom.nextInt(1000));
     }
 
     /** Checks that all that was acknowledged is there in time, and the group complete again. */
-    private void recover() {
-        calm();
-        while (!mMachines.stream().allMatch(LossMachine::isUp) && mReport.isGood()) {
+    private void checkRecovery() {
+        stopFaults();
+        while (!mMachines.stream().allMatch(SimulatedMachine::isUp) && mReport.isGood()) {
             advance();
         }
         long acked = mAckedVersion;
         Map<String, Long> weights = new TreeMap<>(mAckedWeights);
-        long until = mNow + RECOVERED_WITHIN;
-        long tried = publish();
-        while (mAckedVersion < tried && mNow < until && mReport.isGood()) {
+        long deadline = mNow + RECOVERY_TIMEOUT_MILLIS;
+        long published = publish();
+        while (mAckedVersion < published && mNow < deadline && mReport.isGood()) {
             advance();
             if (mNow % 100 == 0) {
-                tried = publish();
+                published = publish();
             }
         }
-        mReport.check(mAckedVersion >= tried, "the group works again", "version " + tried);
-        awaitComplete(until, "the group is complete again");
-        for (LossMachine machine : mMachines) {
+        mReport.check(mAckedVersion >= published, "the group works again", "version " + published);
+        awaitComplete(deadline, "the group is complete again");
+        for (SimulatedMachine machine : mMachines) {
             FleetState state = machine.state();
             checkContent(machine.id(), state);
             mReport.check(
@@ -506,8 +506,8 @@
         }
     }
 
-    private void awaitComplete(long until, String name) {
-        while (!isComplete() && mNow < until && mReport.isGood()) {
+    private void awaitComplete(long deadline, String name) {
+        while (!isComplete() && mNow < deadline && mReport.isGood()) {
             advance();
         }
         if (mReport.isGood()) {
@@ -520,7 +520,7 @@
         Set<Membership> memberships = new HashSet<>();
         Set<Long> applied = new HashSet<>();
         Set<String> ids = new HashSet<>();
-        for (LossMachine machine : mMachines) {
+        for (SimulatedMachine machine : mMachines) {
             if (!machine.isUp()) {
                 return false;
             }
@@ -541,7 +541,7 @@
 
     private List<String> describe() {
         List<String> all = new ArrayList<>();
-        for (LossMachine machine : mMachines) {
+        for (SimulatedMachine machine : mMachines) {
             all.add(
                     machine.isUp()
                             ? machine.id() + " " + machine.node().replica().membership()
@@ -550,7 +550,7 @@
         return all;
     }
 
-    private void pass(long millis) {
+    private void advanceBy(long millis) {
         for (long i = 0; i < millis; i++) {
             advance();
         }
@@ -562,8 +562,8 @@
         byte[] document = new byte[documentSize()];
         new Random(version).nextBytes(document);
         mDocuments.put(version, document);
-        for (LossMachine machine : mMachines) {
-            if (machine.canAct() && machine.node().isLeader()) {
+        for (SimulatedMachine machine : mMachines) {
+            if (machine.isRunning() && machine.node().isLeader()) {
                 propose(machine, new FleetCommand.PublishManifest(version, document))
                         .thenRun(() -> mAckedVersion = Math.max(mAckedVersion, version));
                 if (mRandom.nextInt(3) == 0) {
@@ -577,23 +577,23 @@
     }
 
     private int documentSize() {
-        return mKind == Kind.MANY_SNAPSHOTS
-                ? mRandom.nextInt(LARGEST_DOCUMENT)
+        return mProfile == Profile.MANY_SNAPSHOTS
+                ? mRandom.nextInt(MAX_DOCUMENT_BYTES)
                 : 40 + mRandom.nextInt(200);
     }
 
-    private static CompletableFuture<?> propose(LossMachine machine, FleetCommand command) {
+    private static CompletableFuture<?> propose(SimulatedMachine machine, FleetCommand command) {
         return machine.node().propose(FleetJson.encode(command));
     }
 
     /** What a run has more of than others. */
-    enum Kind {
+    enum Profile {
         PLAIN,
 
         /** Documents so large that logs are replaced by snapshots again and again. */
         MANY_SNAPSHOTS,
 
         /** Disks that are full, or hold up writes for seconds. */
-        BAD_DISKS
+        FAULTY_DISKS
     }
 }
