--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/LossRunTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/DiskLossRunTest.java
@@ -28,11 +28,11 @@
 import org.quilldyke.testkit.check.CheckReport;
 
 /** What was acknowledged survives each loss of disks and power that a site may see. */
-class LossRunTest {
+class DiskLossRunTest {
     private static final int SEEDS = Integer.getInteger("quilldyke.loss.seeds", 100);
 
     /** Their seeds take longer, so that there are fewer: some 25 s a kind on a busy machine. */
-    private static final int SEEDS_OF_KINDS = (SEEDS + 1) / 2;
+    private static final int SLOW_PROFILE_SEEDS = (SEEDS + 1) / 2;
 
     private static final int FIRST_SEED = Integer.getInteger("quilldyke.loss.first", 1);
 
@@ -43,37 +43,39 @@
                     "checked what was acknowledged is there");
 
     @Test
-    void groupOfFourBearsTheLossOfOneDisk() {
-        play(4, 1, LossRun.Kind.PLAIN);
+    void groupOfFourSurvivesTheLossOfOneDisk() {
+        run(4, 1, DiskLossRun.Profile.PLAIN);
     }
 
     /** Where no leader came again, and where entries of a killed process were lost. */
     @ParameterizedTest
     @ValueSource(ints = {687, 1381})
-    void seedsThatOnceFailedAreBorne(int seed) {
-        assertGood(4, seed, LossRun.play(4, 1, LossRun.Kind.PLAIN, seed));
+    void previouslyFailingSeedsPass(int seed) {
+        assertGood(4, seed, DiskLossRun.run(4, 1, DiskLossRun.Profile.PLAIN, seed));
     }
 
     @Test
-    void groupOfEightBearsTheLossOfTwoDisks() {
-        play(8, 2, LossRun.Kind.PLAIN);
+    void groupOfEightSurvivesTheLossOfTwoDisks() {
+        run(8, 2, DiskLossRun.Profile.PLAIN);
     }
 
     @Test
-    void lossesAmidSnapshotsAreBorne() {
-        List<String> seen =
+    void groupSurvivesLossesDuringSnapshots() {
+        List<String> expectedEvents =
                 List.of("piece of a snapshot sent", "snapshot installed", "fault end amid a write");
-        assertThat(play(4, 1, LossRun.Kind.MANY_SNAPSHOTS).keySet())
-                .containsAtLeastElementsIn(seen);
-        assertThat(play(8, 2, LossRun.Kind.MANY_SNAPSHOTS).keySet())
-                .containsAtLeastElementsIn(seen);
+        assertThat(run(4, 1, DiskLossRun.Profile.MANY_SNAPSHOTS).keySet())
+                .containsAtLeastElementsIn(expectedEvents);
+        assertThat(run(8, 2, DiskLossRun.Profile.MANY_SNAPSHOTS).keySet())
+                .containsAtLeastElementsIn(expectedEvents);
     }
 
     @Test
-    void lossesBesideFullAndStalledDisksAreBorne() {
-        List<String> seen = List.of("fault disk full", "fault disk stalled");
-        assertThat(play(4, 1, LossRun.Kind.BAD_DISKS).keySet()).containsAtLeastElementsIn(seen);
-        assertThat(play(8, 2, LossRun.Kind.BAD_DISKS).keySet()).containsAtLeastElementsIn(seen);
+    void groupSurvivesLossesWithFullAndStalledDisks() {
+        List<String> expectedEvents = List.of("fault disk full", "fault disk stalled");
+        assertThat(run(4, 1, DiskLossRun.Profile.FAULTY_DISKS).keySet())
+                .containsAtLeastElementsIn(expectedEvents);
+        assertThat(run(8, 2, DiskLossRun.Profile.FAULTY_DISKS).keySet())
+                .containsAtLeastElementsIn(expectedEvents);
     }
 
     /**
@@ -85,29 +87,32 @@
      * then by this test: 70 of 100 seeds with five machines, none with four that bear one loss.
      */
     @Test
-    void firstAcknowledgementIsBorneWhileTheGroupStillGrows() {
-        assertThat(playFirst(4, 1).keySet()).containsAtLeastElementsIn(LOSSES);
-        assertThat(playFirst(5, 2).keySet()).containsAtLeastElementsIn(LOSSES);
-        assertThat(playFirst(8, 2).keySet()).containsAtLeastElementsIn(LOSSES);
+    void firstAcknowledgementSurvivesWhileTheGroupStillGrows() {
+        assertThat(runEarlyLoss(4, 1).keySet()).containsAtLeastElementsIn(LOSSES);
+        assertThat(runEarlyLoss(5, 2).keySet()).containsAtLeastElementsIn(LOSSES);
+        assertThat(runEarlyLoss(8, 2).keySet()).containsAtLeastElementsIn(LOSSES);
     }
 
     /** Two of five that don't come are the two that the others can do without. */
     @Test
-    void groupGoesOnWithoutMachinesThatComeLate() {
-        Map<String, Long> counts = playAll(5, SEEDS, seed -> LossRun.playLate(5, 2, seed));
+    void groupWorksWithoutMachinesThatStartLate() {
+        Map<String, Long> counts =
+                runAll(5, SEEDS, seed -> DiskLossRun.runWithLateMachines(5, 2, seed));
         assertThat(counts.keySet()).containsAtLeastElementsIn(LOSSES);
     }
 
-    private static Map<String, Long> playFirst(int machines, int tolerated) {
-        return playAll(machines, SEEDS, seed -> LossRun.playFirst(machines, tolerated, seed));
+    private static Map<String, Long> runEarlyLoss(int machines, int toleratedLosses) {
+        return runAll(
+                machines, SEEDS, seed -> DiskLossRun.runEarlyLoss(machines, toleratedLosses, seed));
     }
 
-    private static Map<String, Long> play(int machines, int tolerated, LossRun.Kind kind) {
+    private static Map<String, Long> run(
+            int machines, int toleratedLosses, DiskLossRun.Profile profile) {
         Map<String, Long> counts =
-                playAll(
+                runAll(
                         machines,
-                        kind == LossRun.Kind.PLAIN ? SEEDS : SEEDS_OF_KINDS,
-                        seed -> LossRun.play(machines, tolerated, kind, seed));
+                        profile == DiskLossRun.Profile.PLAIN ? SEEDS : SLOW_PROFILE_SEEDS,
+                        seed -> DiskLossRun.run(machines, toleratedLosses, profile, seed));
         assertThat(counts.keySet())
                 .containsAtLeast(
                         "loss of disks alone",
@@ -122,19 +127,18 @@
         return counts;
     }
 
-    private static Map<String, Long> playAll(
-            int machines, int seeds, IntFunction<CheckReport> play) {
+    private static Map<String, Long> runAll(int machines, int seeds, IntFunction<CheckReport> run) {
         Map<String, Long> counts = new TreeMap<>();
-        Map<Integer, List<String>> broken = new TreeMap<>();
+        Map<Integer, List<String>> failedSeeds = new TreeMap<>();
         for (int seed = FIRST_SEED; seed < FIRST_SEED + seeds; seed++) {
-            CheckReport report = play.apply(seed);
+            CheckReport report = run.apply(seed);
             if (!report.isGood()) {
-                broken.put(seed, report.violations());
+                failedSeeds.put(seed, report.violations());
             }
             report.counts().forEach((name, count) -> counts.merge(name, count, Long::sum));
         }
-        assertWithMessage("%s machines: %s of %s seeds broken", machines, broken.size(), seeds)
-                .that(broken)
+        assertWithMessage("%s machines: %s of %s seeds broken", machines, failedSeeds.size(), seeds)
+                .that(failedSeeds)
                 .isEmpty();
         return counts;
     }
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/FleetTellingTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/EntryFrameRateTest.java
@@ -51,15 +51,15 @@
  * What an entry is told by one control process in fleets of 10 to 1,000 instances, in simulated
  * time: it pays for each frame, so that their number may not grow with the fleet.
  */
-class FleetTellingTest {
+class EntryFrameRateTest {
     private static final String SELF = "127.0.0.1:1";
-    private static final long PLAYED_MILLIS = 10_000;
+    private static final long SIMULATED_MILLIS = 10_000;
     private static final long TICK_MILLIS = 50;
 
     /** An engine with three prompts a second tells of its cache about so often. */
-    private static final double NEWS_PER_ENGINE_AND_SECOND = 5;
+    private static final double CACHE_UPDATES_PER_ENGINE_SECOND = 5;
 
-    private static final int PARTS_PER_NEWS = 2;
+    private static final int BLOCKS_PER_UPDATE = 2;
 
     /** Instances of a fleet for each control process, and engines for each instance. */
     private static final int INSTANCES_PER_CONTROL = 6;
@@ -70,7 +70,7 @@
      * The frames that an entry may be told a second on its main stream: news, loads, answers; and
      * the whole tables of targets and of caches, once each.
      */
-    private static final double MOST_FRAMES = 20 + 10 + 4 + 2 * 1000.0 / PLAYED_MILLIS;
+    private static final double MAX_FRAMES_PER_SECOND = 20 + 10 + 4 + 2 * 1000.0 / SIMULATED_MILLIS;
 
     @TempDir Path mFolder;
     private final MultiThreadIoEventLoopGroup mGroup =
@@ -86,100 +86,103 @@
 
     /** Each engine's news went to each entry by itself: 10 frames a second at 10, 650 at 300. */
     @Test
-    void framesDoNotGrowWithTheFleet() throws Exception {
+    void frameRateDoesNotGrowWithTheFleet() throws Exception {
         for (int instances : List.of(10, 30, 100, 300, 1000)) {
-            Told told = play(instances);
-            System.out.printf("told an entry a second, of %d instances: %s%n", instances, told);
+            ReceivedFrames received = simulate(instances);
+            System.out.printf("told an entry a second, of %d instances: %s%n", instances, received);
             assertWithMessage("frames of %s instances", instances)
-                    .that(told.frames())
-                    .isAtMost(MOST_FRAMES);
+                    .that(received.framesPerSecond())
+                    .isAtMost(MAX_FRAMES_PER_SECOND);
         }
     }
 
     /** What others have open was told every 0.8 s at 100 entries, and to them by way of two. */
     @Test
-    void loadsAreToldSeveralTimesASecondInLargeFleets() throws Exception {
-        assertThat(play(100).of(ControlFrame.KindCase.LOADS)).isAtLeast(4);
-        assertThat(play(1000).of(ControlFrame.KindCase.LOADS)).isAtLeast(2);
+    void loadsAreSentSeveralTimesASecondInLargeFleets() throws Exception {
+        assertThat(simulate(100).framesPerSecondOf(ControlFrame.KindCase.LOADS)).isAtLeast(4);
+        assertThat(simulate(1000).framesPerSecondOf(ControlFrame.KindCase.LOADS)).isAtLeast(2);
     }
 
-    private Told play(int instances) throws Exception {
+    private ReceivedFrames simulate(int instances) throws Exception {
         NettyLoop loop = new NettyLoop(mGroup.next());
         Peers peers = Peers.create(loop, () -> mNow, mLog, SELF);
-        RefusalLog refused = RefusalLog.create(new MetricRegistry(), mLog, () -> mNow);
-        RestartMemory memory =
-                RestartMemory.in(DataFolder.open(mFolder), loop, mLog, refused, SELF);
+        RefusalLog rejectedReports = RefusalLog.create(new MetricRegistry(), mLog, () -> mNow);
+        WarmStartData warmStart =
+                WarmStartData.open(DataFolder.open(mFolder), loop, mLog, rejectedReports, SELF);
         EntrySessions sessions = new EntrySessions(() -> mNow, mLog, peers, "z");
-        TargetSpread targets =
-                new TargetSpread(
+        TargetReplication targets =
+                new TargetReplication(
                         peers::sendToAll,
-                        new Deliveries(peers::sendToAll, () -> mNow, 0),
+                        new AckedBroadcasts(peers::sendToAll, () -> mNow, 0),
                         sessions::onTargets,
                         () -> mNow,
                         mLog,
-                        memory,
-                        refused,
+                        warmStart,
+                        rejectedReports,
                         1000);
-        CrashSpread crashes =
-                new CrashSpread(peers::sendToAll, sessions::onCrashes, () -> mNow, mLog, memory);
+        CrashReplication crashes =
+                new CrashReplication(
+                        peers::sendToAll, sessions::onCrashes, () -> mNow, mLog, warmStart);
         sessions.connect(
-                done -> done.accept(true),
+                callback -> callback.accept(true),
                 targets,
                 crashes,
-                new LimitSpread(peers::sendToAll, sessions::onLimits, () -> mNow));
+                new LimitReplication(peers::sendToAll, sessions::onLimits, () -> mNow));
         List<FakeEntry> entries = new ArrayList<>();
         for (int i = 0; i < Math.max(1, instances / INSTANCES_PER_CONTROL); i++) {
             entries.add(new FakeEntry("entry-" + i, sessions));
         }
-        Loads.Builder others = Loads.newBuilder();
+        Loads.Builder otherEntries = Loads.newBuilder();
         for (int i = entries.size(); i < instances; i++) {
-            others.addEntries("entry-" + i);
+            otherEntries.addEntries("entry-" + i);
         }
-        Loads elsewhere = others.build();
-        CacheBatch batch = new CacheBatch();
+        Loads remoteLoads = otherEntries.build();
+        CacheUpdateBatch batch = new CacheUpdateBatch();
         int engines = (int) (instances * ENGINES_PER_INSTANCE);
-        long end = mNow + PLAYED_MILLIS;
+        long end = mNow + SIMULATED_MILLIS;
         for (; mNow < end; mNow += TICK_MILLIS) {
-            entries.forEach(entry -> entry.speak(engines));
-            sessions.onLoads("elsewhere", elsewhere);
-            news(engines).forEach(batch::add);
-            batch.take(mNow).ifPresent(news -> sessions.onCaches(news.getCachesList()));
+            entries.forEach(entry -> entry.sendFrames(engines));
+            sessions.onLoads("elsewhere", remoteLoads);
+            cacheUpdates(engines).forEach(batch::add);
+            batch.takeDue(mNow)
+                    .ifPresent(updates -> sessions.onCacheUpdates(updates.getCachesList()));
             sessions.tick();
         }
-        memory.close();
-        return entries.get(0).mTold;
+        warmStart.close();
+        return entries.get(0).mReceived;
     }
 
-    private List<CacheNews> news(int engines) {
-        List<CacheNews> news = new ArrayList<>();
+    private List<CacheNews> cacheUpdates(int engines) {
+        List<CacheNews> updates = new ArrayList<>();
         for (int i = 0; i < engines; i++) {
-            if (mRandom.nextDouble() < NEWS_PER_ENGINE_AND_SECOND * TICK_MILLIS / 1000) {
-                CacheNews.Builder one = CacheNews.newBuilder().setHolder("engine-" + i).setUp(true);
-                for (int part = 0; part < PARTS_PER_NEWS; part++) {
-                    one.addAdded(mRandom.nextLong());
+            if (mRandom.nextDouble() < CACHE_UPDATES_PER_ENGINE_SECOND * TICK_MILLIS / 1000) {
+                CacheNews.Builder update =
+                        CacheNews.newBuilder().setHolder("engine-" + i).setUp(true);
+                for (int block = 0; block < BLOCKS_PER_UPDATE; block++) {
+                    update.addAdded(mRandom.nextLong());
                 }
-                news.add(one.build());
+                updates.add(update.build());
             }
         }
-        return news;
+        return updates;
     }
 
     /** An entry whose main stream leads here, with two requests open at engines drawn anew. */
     private final class FakeEntry {
-        private final Told mTold = new Told();
+        private final ReceivedFrames mReceived = new ReceivedFrames();
         private final SessionServer.EntrySession mSession;
-        private long mQuestion;
+        private long mLastQuestion;
 
         FakeEntry(String id, EntrySessions sessions) {
-            mSession = sessions.open(mTold);
+            mSession = sessions.open(mReceived);
             mSession.onFrame(
                     EntryFrame.newBuilder().setHello(Hello.newBuilder().setEntry(id)).build());
         }
 
-        void speak(int engines) {
+        void sendFrames(int engines) {
             if (mNow % 250 == 0) {
                 Question question =
-                        Question.newBuilder().setNumber(++mQuestion).setMain(true).build();
+                        Question.newBuilder().setNumber(++mLastQuestion).setMain(true).build();
                 mSession.onFrame(EntryFrame.newBuilder().setQuestion(question).build());
             }
             if (mNow % TellingRates.loadsMillis() == 0) {
@@ -194,17 +197,17 @@
     }
 
     /** What one entry is told. */
-    private static final class Told implements StreamObserver<ControlFrame> {
+    private static final class ReceivedFrames implements StreamObserver<ControlFrame> {
         private final Map<ControlFrame.KindCase, Integer> mFrames =
                 new EnumMap<>(ControlFrame.KindCase.class);
         private long mBytes;
 
-        double frames() {
-            return mFrames.values().stream().mapToInt(n -> n).sum() * 1000.0 / PLAYED_MILLIS;
+        double framesPerSecond() {
+            return mFrames.values().stream().mapToInt(n -> n).sum() * 1000.0 / SIMULATED_MILLIS;
         }
 
-        double of(ControlFrame.KindCase kind) {
-            return mFrames.getOrDefault(kind, 0) * 1000.0 / PLAYED_MILLIS;
+        double framesPerSecondOf(ControlFrame.KindCase kind) {
+            return mFrames.getOrDefault(kind, 0) * 1000.0 / SIMULATED_MILLIS;
         }
 
         @Override
@@ -227,7 +230,7 @@
         public String toString() {
             return String.format(
                     "%.1f frames, %d bytes, %s in all",
-                    frames(), mBytes * 1000 / PLAYED_MILLIS, mFrames);
+                    framesPerSecond(), mBytes * 1000 / SIMULATED_MILLIS, mFrames);
         }
     }
 }
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/EntryLoadsTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/EntryLoadsTest.java
@@ -27,65 +27,66 @@
     private final EntryLoads mLoads = new EntryLoads();
 
     @Test
-    void eachEntryHearsOfAllOthersOnly() {
+    void eachEntryReceivesTheLoadsOfAllOthers() {
         mLoads.onLoad("a", List.of(load("x", 2, 100), load("y", 1, 10)), 0);
         mLoads.onLoad("b", List.of(load("x", 3, 50)), 0);
-        mLoads.onOthers(
+        mLoads.onPeerLoads(
                 "other", Loads.newBuilder().addTargets(load("y", 4, 7)).addEntries("c").build(), 0);
 
         EntryLoads.Totals totals = mLoads.totals(10);
 
-        assertThat(totals.allBut("a")).containsExactly(load("x", 3, 50), load("y", 4, 7));
-        assertThat(totals.allBut("b")).containsExactly(load("x", 2, 100), load("y", 5, 17));
-        assertThat(totals.allBut("d")).containsExactly(load("x", 5, 150), load("y", 5, 17));
-        assertThat(mLoads.here(10)).containsExactly(load("x", 5, 150), load("y", 1, 10));
-        assertThat(mLoads.entriesHere(10)).containsExactly("a", "b");
-        assertThat(mLoads.entries(10)).isEqualTo(3);
+        assertThat(totals.excluding("a")).containsExactly(load("x", 3, 50), load("y", 4, 7));
+        assertThat(totals.excluding("b")).containsExactly(load("x", 2, 100), load("y", 5, 17));
+        assertThat(totals.excluding("d")).containsExactly(load("x", 5, 150), load("y", 5, 17));
+        assertThat(mLoads.localLoads(10)).containsExactly(load("x", 5, 150), load("y", 1, 10));
+        assertThat(mLoads.localEntries(10)).containsExactly("a", "b");
+        assertThat(mLoads.entryCount(10)).isEqualTo(3);
     }
 
     @Test
-    void entryThatTellsElsewhereCountsOnceOnly() {
+    void entryThatReportsElsewhereIsCountedOnce() {
         mLoads.onLoad("a", List.of(load("x", 2, 100)), 0);
-        mLoads.onLeft("a");
-        mLoads.onOthers(
+        mLoads.removeLocal("a");
+        mLoads.onPeerLoads(
                 "other",
                 Loads.newBuilder().addTargets(load("x", 2, 100)).addEntries("a").build(),
                 0);
 
-        assertThat(mLoads.totals(10).allBut("b")).containsExactly(load("x", 2, 100));
-        assertThat(mLoads.entries(10)).isEqualTo(1);
+        assertThat(mLoads.totals(10).excluding("b")).containsExactly(load("x", 2, 100));
+        assertThat(mLoads.entryCount(10)).isEqualTo(1);
     }
 
     @Test
-    void entriesHavePlacesByTheirNames() {
+    void entriesAreRankedByName() {
         mLoads.onLoad("b", List.of(), 0);
-        mLoads.onAlive("a", 0);
-        assertThat(mLoads.place("b")).isEqualTo(2);
-        mLoads.onOthers("other", Loads.newBuilder().addEntries("aa").build(), 10_000);
-
-        assertThat(mLoads.place("b")).isEqualTo(3);
-        assertThat(mLoads.place("c")).isEqualTo(0);
-        assertThat(mLoads.entries(EntryLoads.FORGOTTEN_MILLIS + 1)).isEqualTo(1);
-        assertThat(mLoads.place("aa")).isEqualTo(1);
+        mLoads.onKeepAlive("a", 0);
+        assertThat(mLoads.rank("b")).isEqualTo(2);
+        mLoads.onPeerLoads("other", Loads.newBuilder().addEntries("aa").build(), 10_000);
+
+        assertThat(mLoads.rank("b")).isEqualTo(3);
+        assertThat(mLoads.rank("c")).isEqualTo(0);
+        assertThat(mLoads.entryCount(EntryLoads.ENTRY_EXPIRY_MILLIS + 1)).isEqualTo(1);
+        assertThat(mLoads.rank("aa")).isEqualTo(1);
     }
 
     @Test
-    void loadThatIsConfirmedDoesNotGoStale() {
+    void keepAlivePreventsStaleLoads() {
         mLoads.onLoad("a", List.of(load("x", 2, 100)), 0);
-        mLoads.onAlive("a", EntryLoads.STALE_MILLIS);
+        mLoads.onKeepAlive("a", EntryLoads.STALE_MILLIS);
 
-        assertThat(mLoads.here(EntryLoads.STALE_MILLIS + 1)).containsExactly(load("x", 2, 100));
+        assertThat(mLoads.localLoads(EntryLoads.STALE_MILLIS + 1))
+                .containsExactly(load("x", 2, 100));
     }
 
     @Test
-    void loadsThatWereToldLongAgoDoNotCount() {
+    void staleLoadsAreIgnored() {
         mLoads.onLoad("a", List.of(load("x", 2, 100)), 0);
         mLoads.onLoad("b", List.of(load("x", 3, 50)), EntryLoads.STALE_MILLIS);
 
         EntryLoads.Totals totals = mLoads.totals(EntryLoads.STALE_MILLIS + 1);
 
-        assertThat(totals.allBut("a")).containsExactly(load("x", 3, 50));
-        assertThat(totals.allBut("b")).isEmpty();
+        assertThat(totals.excluding("a")).containsExactly(load("x", 3, 50));
+        assertThat(totals.excluding("b")).isEmpty();
     }
 
     private static TargetLoad load(String target, int requests, long tokens) {
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/FleetJsonTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/FleetJsonTest.java
@@ -43,36 +43,40 @@
 
     @Test
     void commandsAreReadAndWritten() throws Exception {
-        FleetCommand publish = FleetJson.command(bytes(PUBLISH));
+        FleetCommand publish = FleetJson.decodeCommand(bytes(PUBLISH));
         assertThat(((FleetCommand.PublishManifest) publish).document())
                 .isEqualTo(new byte[] {1, 2, -1});
-        assertThat(FleetJson.command(bytes(NAME))).isEqualTo(new FleetCommand.NameWeights("m", 3));
+        assertThat(FleetJson.decodeCommand(bytes(NAME)))
+                .isEqualTo(new FleetCommand.NameWeights("m", 3));
         for (String text : List.of(PUBLISH, NAME, FENCE)) {
-            assertThat(text(FleetJson.encode(FleetJson.command(bytes(text))))).isEqualTo(text);
+            assertThat(text(FleetJson.encode(FleetJson.decodeCommand(bytes(text)))))
+                    .isEqualTo(text);
         }
     }
 
     @Test
     void snapshotIsReadAndWritten() throws Exception {
-        FleetState.Snapshot snapshot = FleetJson.snapshot(bytes(SNAPSHOT));
+        FleetState.Snapshot snapshot = FleetJson.decodeSnapshot(bytes(SNAPSHOT));
         assertThat(snapshot.weights()).isEqualTo(new TreeMap<>(Map.of("m", 3L)));
         assertThat(text(FleetJson.encode(snapshot))).isEqualTo(SNAPSHOT);
     }
 
     @Test
     void identityIsReadAndWritten() throws Exception {
-        ReplicaIdentity identity = FleetJson.identity(bytes(IDENTITY));
-        assertThat(identity.initial())
+        ReplicaIdentity identity = FleetJson.decodeIdentity(bytes(IDENTITY));
+        assertThat(identity.initialMembership())
                 .isEqualTo(Membership.ofVoters(List.of(new Membership.Member("a/1", "a"))));
         assertThat(text(FleetJson.encode(identity))).isEqualTo(IDENTITY);
     }
 
     @Test
-    void whatIsNoCommandIsRefused() {
+    void invalidCommandsAreRejected() {
         for (String text : List.of("{}", "{\"type\":\"Other\"}", NAME.replace("3", "\"3\""), "[")) {
             QuilldykeException e =
                     assertThrows(
-                            QuilldykeException.class, () -> FleetJson.command(bytes(text)), text);
+                            QuilldykeException.class,
+                            () -> FleetJson.decodeCommand(bytes(text)),
+                            text);
             assertThat(e.code()).isEqualTo(ResultCode.MALFORMED_BODY);
         }
     }
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/VirtualLoop.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/SimulatedControlLoop.java
@@ -20,12 +20,12 @@
 import org.quilldyke.daemon.control.ControlLoop;
 
 /** The control thread of one process in virtual time. */
-final class VirtualLoop implements ControlLoop {
+final class SimulatedControlLoop implements ControlLoop {
     private final PriorityQueue<Task> mTasks = new PriorityQueue<>();
     private final LongSupplier mNow;
     private long mCount;
 
-    VirtualLoop(LongSupplier now) {
+    SimulatedControlLoop(LongSupplier now) {
         mNow = now;
     }
 
@@ -40,7 +40,7 @@
     }
 
     /** Runs what is due. */
-    void run() {
+    void runDue() {
         while (!mTasks.isEmpty() && mTasks.peek().at() <= mNow.getAsLong()) {
             mTasks.remove().task().run();
         }
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/VirtualDisk.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/SimulatedDiskThread.java
@@ -26,10 +26,10 @@
 import org.quilldyke.testkit.disk.PowerLostException;
 
 /** The disk's thread of one process in virtual time: each write takes some milliseconds. */
-final class VirtualDisk extends AbstractExecutorService {
-    private static final int QUICK_MILLIS = 8;
-    private static final int SLOW_MILLIS = 300;
-    private static final int SLOW_IN = 40;
+final class SimulatedDiskThread extends AbstractExecutorService {
+    private static final int MAX_FAST_WRITE_MILLIS = 8;
+    private static final int MAX_SLOW_WRITE_MILLIS = 300;
+    private static final int WRITES_PER_SLOW_WRITE = 40;
 
     /** More operations than the longest write takes. */
     private static final int MAX_OPERATIONS = 24;
@@ -41,7 +41,7 @@
     private long mDueAt = -1;
     private long mStalledUntil;
 
-    VirtualDisk(PowerLossDisk disk, Random random, CheckReport report) {
+    SimulatedDiskThread(PowerLossDisk disk, Random random, CheckReport report) {
         mDisk = disk;
         mRandom = random;
         mReport = report;
@@ -53,13 +53,13 @@
     }
 
     /** Carries out the write that is due, if one is. */
-    void run(long now) {
+    void runDue(long now) {
         if (mWrites.isEmpty() || now < mStalledUntil) {
             return;
         }
         if (mDueAt < 0) {
-            boolean slow = mRandom.nextInt(SLOW_IN) == 0;
-            mDueAt = now + mRandom.nextInt(slow ? SLOW_MILLIS : QUICK_MILLIS);
+            boolean slow = mRandom.nextInt(WRITES_PER_SLOW_WRITE) == 0;
+            mDueAt = now + mRandom.nextInt(slow ? MAX_SLOW_WRITE_MILLIS : MAX_FAST_WRITE_MILLIS);
         }
         if (now >= mDueAt) {
             mDueAt = -1;
@@ -73,7 +73,7 @@
     }
 
     /** Gets as far with its writes as an end of the process at any operation allows. */
-    void breakOff() {
+    void abort() {
         mDisk.failAfter(mRandom.nextInt(MAX_OPERATIONS));
         try {
             while (!mWrites.isEmpty() && mRandom.nextInt(4) > 0) {
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/LossMachine.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/SimulatedMachine.java
@@ -39,53 +39,55 @@
 import org.quilldyke.testkit.disk.PowerLossDisk;
 import org.quilldyke.testkit.disk.PowerLostException;
 
-/** A machine of a {@link LossRun}: the real replica with its files on a disk that loses power. */
-final class LossMachine implements ReplicatedMachine<FleetResult> {
+/**
+ * A machine of a {@link DiskLossRun}: the real replica with its files on a disk that loses power.
+ */
+final class SimulatedMachine implements ReplicatedMachine<FleetResult> {
     private static final int PORT = 7340;
     private static final int SEEDS = 3;
-    private static final int KEEPER_MILLIS = 50;
-    private static final int JOIN_MILLIS = 500;
-    private static final int READ_MILLIS = 900;
+    private static final int MEMBERSHIP_CHECK_MILLIS = 50;
+    private static final int JOIN_INTERVAL_MILLIS = 500;
+    private static final int READ_TIMEOUT_MILLIS = 900;
 
     /** As large as the replica's files usually grow. */
-    private static final long BYTES_BEFORE_SNAPSHOT = 4 << 20;
+    private static final long SNAPSHOT_THRESHOLD_BYTES = 4 << 20;
 
     /** A snapshot every few changes, each in several pieces. */
-    private static final long FEW_BYTES_BEFORE_SNAPSHOT = 48 << 10;
+    private static final long SMALL_SNAPSHOT_THRESHOLD_BYTES = 48 << 10;
 
     private static final int SMALL_MESSAGE_BYTES = 8 << 10;
 
     private final String mAddress;
     private final int mNumber;
-    private final int mTolerated;
+    private final int mToleratedLosses;
     private final boolean mManySnapshots;
-    private final LossRun mRun;
+    private final DiskLossRun mRun;
     private final CheckReport mReport;
     private final Random mRandom;
     private final long mClockOffset;
     private final PowerLossDisk mDisk = PowerLossDisk.create();
     private final List<Read> mReads = new ArrayList<>();
-    private FleetMachine mState = new FleetMachine(state -> {});
+    private FleetStateMachine mStateMachine = new FleetStateMachine(state -> {});
     private EventLog mLog;
-    private VirtualLoop mLoop;
-    private VirtualDisk mWrites;
+    private SimulatedControlLoop mLoop;
+    private SimulatedDiskThread mDiskThread;
     private MembershipPlanner mPlanner;
     private ReplicaNode<FleetResult> mNode;
     private String mId = "";
     private boolean mFirstStart = true;
     private long mStartAt;
     private long mPausedUntil;
-    private long mJoinedAt;
+    private long mJoinSentAt;
 
-    LossMachine(
+    SimulatedMachine(
             int number,
-            int tolerated,
+            int toleratedLosses,
             boolean manySnapshots,
-            LossRun run,
+            DiskLossRun run,
             CheckReport report,
             Random random) {
         mNumber = number;
-        mTolerated = tolerated;
+        mToleratedLosses = toleratedLosses;
         mManySnapshots = manySnapshots;
         mRun = run;
         mReport = report;
@@ -119,7 +121,7 @@
         return isUp() && mNode.replica().membership().isVoter(mId);
     }
 
-    boolean canAct() {
+    boolean isRunning() {
         return isUp() && mPausedUntil <= mRun.now();
     }
 
@@ -128,7 +130,7 @@
     }
 
     FleetState state() {
-        return mState.state();
+        return mStateMachine.state();
     }
 
     long snapshots() {
@@ -144,19 +146,19 @@
     }
 
     /** Has the disk take so many bytes more, and no write after them. */
-    void fillDiskAfter(long bytes) {
+    void limitDiskSpace(long bytes) {
         mDisk.fillUpAfter(bytes);
     }
 
     /** Has no write of the present process go on before the given time. */
     void stallDiskUntil(long until) {
         if (isUp()) {
-            mWrites.stallUntil(until);
+            mDiskThread.stallUntil(until);
         }
     }
 
     /** Has the disk work again. */
-    void mendDisk() {
+    void repairDisk() {
         mDisk.makeRoom();
         stallDiskUntil(0);
     }
@@ -171,17 +173,17 @@
         if (!isUp() && mStartAt <= mRun.now()) {
             start();
         }
-        if (canAct()) {
-            mWrites.run(mRun.now());
-            mLoop.run();
+        if (isRunning()) {
+            mDiskThread.runDue(mRun.now());
+            mLoop.runDue();
             answerReads();
         }
     }
 
     /** Asks for the newest manifest. */
-    void read(long atLeast) {
-        if (canAct() && mNode.isLeader()) {
-            mReads.add(new Read(clock(), atLeast));
+    void read(long ackedVersion) {
+        if (isRunning() && mNode.isLeader()) {
+            mReads.add(new Read(clock(), ackedVersion));
         }
     }
 
@@ -190,7 +192,7 @@
         if (!isUp()) {
             return;
         }
-        mWrites.breakOff();
+        mDiskThread.abort();
         checkEvents();
         mNode = null;
         mReads.clear();
@@ -212,12 +214,12 @@
     @Override
     public FleetResult apply(long index, byte[] command) throws QuilldykeException {
         mRun.onApply(mId, index, command);
-        return mState.apply(index, command);
+        return mStateMachine.apply(index, command);
     }
 
     @Override
     public byte[] snapshot() {
-        return mState.snapshot();
+        return mStateMachine.snapshot();
     }
 
     @Override
@@ -225,8 +227,8 @@
         if (isUp()) {
             mReport.count("snapshot installed");
         }
-        mState.restore(snapshot);
-        mRun.checkContent(mId, mState.state());
+        mStateMachine.restore(snapshot);
+        mRun.checkContent(mId, mStateMachine.state());
     }
 
     private void start() {
@@ -240,13 +242,13 @@
             mNode = null;
             mStartAt = mRun.now() + mRandom.nextInt(300);
         } catch (QuilldykeException e) {
-            onFailedStart(e);
+            onStartFailure(e);
         }
         mDisk.failAfter(Long.MAX_VALUE);
     }
 
     /** Tries again later if the disk is full; it is the only reason for a start to fail. */
-    private void onFailedStart(QuilldykeException e) {
+    private void onStartFailure(QuilldykeException e) {
         mNode = null;
         mStartAt = mRun.now() + mRandom.nextInt(300);
         if (mDisk.isFillingUp() && e.code() == ResultCode.DISK_FAILED) {
@@ -258,10 +260,10 @@
 
     private void open() throws QuilldykeException {
         mLog = EventLog.of(mAddress);
-        mLoop = new VirtualLoop(this::clock);
-        mWrites = new VirtualDisk(mDisk, mRandom, mReport);
-        mPlanner = MembershipPlanner.create(mTolerated);
-        mState = new FleetMachine(state -> {});
+        mLoop = new SimulatedControlLoop(this::clock);
+        mDiskThread = new SimulatedDiskThread(mDisk, mRandom, mReport);
+        mPlanner = MembershipPlanner.create(mToleratedLosses);
+        mStateMachine = new FleetStateMachine(state -> {});
         SplittableRandom random = new SplittableRandom(mRandom.nextLong());
         DataFolder folder = DataFolder.open(mDisk.folder());
         ReplicaIdentity.Opened opened =
@@ -272,24 +274,28 @@
                         mLoop,
                         this::clock,
                         mLog,
-                        DiskQueue.on(mWrites, mLoop, mLog),
-                        mManySnapshots ? FEW_BYTES_BEFORE_SNAPSHOT : BYTES_BEFORE_SNAPSHOT);
+                        DiskQueue.on(mDiskThread, mLoop, mLog),
+                        mManySnapshots ? SMALL_SNAPSHOT_THRESHOLD_BYTES : SNAPSHOT_THRESHOLD_BYTES);
         mNode =
                 ReplicaNode.of(
                         environment,
                         folder,
-                        opened.disk(),
+                        opened.durableState(),
                         Replica.restore(
-                                replicaSettings(opened), opened.disk(), random, clock(), clock()),
+                                replicaSettings(opened),
+                                opened.durableState(),
+                                random,
+                                clock(),
+                                clock()),
                         this,
                         (to, message) -> mRun.send(this, to, message),
                         leads -> mRun.onLeadership(this, leads));
         mNode.start();
-        keepMembership();
+        checkMembership();
     }
 
     private ReplicaSettings replicaSettings(ReplicaIdentity.Opened opened) {
-        ReplicaSettings settings = ControlNode.settingsOf(opened.identity(), mTolerated);
+        ReplicaSettings settings = ControlNode.settingsOf(opened.identity(), mToleratedLosses);
         return mManySnapshots
                 ? settings.withMessageSizes(SMALL_MESSAGE_BYTES, SMALL_MESSAGE_BYTES)
                 : settings;
@@ -312,36 +318,36 @@
                 seeds,
                 mFirstStart,
                 "",
-                mTolerated,
+                mToleratedLosses,
                 null);
     }
 
-    /** Does what {@link MembershipKeeper} does. */
-    private void keepMembership() {
-        mLoop.schedule(KEEPER_MILLIS, this::keepMembership);
+    /** Does what {@link MembershipManager} does. */
+    private void checkMembership() {
+        mLoop.schedule(MEMBERSHIP_CHECK_MILLIS, this::checkMembership);
         if (mNode.isLeader()) {
             Optional<Membership> next =
                     mPlanner.nextMembership(mNode.replica(), mId, mNode.leaderSince(), clock());
             if (next.isPresent() && mNode.proposeMembership(next.get())) {
                 mReport.count("membership proposed");
             }
-        } else if (mNode.leader().isEmpty() && clock() - mJoinedAt > JOIN_MILLIS) {
-            mJoinedAt = clock();
-            mRun.join(new Membership.Member(mId, mAddress));
+        } else if (mNode.leader().isEmpty() && clock() - mJoinSentAt > JOIN_INTERVAL_MILLIS) {
+            mJoinSentAt = clock();
+            mRun.sendJoinRequest(new Membership.Member(mId, mAddress));
         }
     }
 
     private void answerReads() {
         long confirmedAt = mNode.confirmedAt();
         for (Read read : List.copyOf(mReads)) {
-            if (read.since() < confirmedAt) {
+            if (read.receivedAt() < confirmedAt) {
                 mReads.remove(read);
                 mRun.checkContent(mId, state());
                 mReport.check(
-                        state().version() >= read.atLeast(),
+                        state().version() >= read.ackedVersion(),
                         "a read gives what was acknowledged before it",
-                        mId + " " + state().version() + " of " + read.atLeast());
-            } else if (read.since() < clock() - READ_MILLIS) {
+                        mId + " " + state().version() + " of " + read.ackedVersion());
+            } else if (read.receivedAt() < clock() - READ_TIMEOUT_MILLIS) {
                 mReads.remove(read);
             }
         }
@@ -360,8 +366,8 @@
     /**
      * A question for the newest manifest.
      *
-     * @param since when it came, of this machine's clock
-     * @param atLeast the newest version that was acknowledged by then
+     * @param receivedAt when it came, of this machine's clock
+     * @param ackedVersion the newest version that was acknowledged by then
      */
-    private record Read(long since, long atLeast) {}
+    private record Read(long receivedAt, long ackedVersion) {}
 }
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/SpreadFixture.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/TargetReplicationFixture.java
@@ -36,43 +36,45 @@
 import org.quilldyke.gateway.instance.proto.Targets;
 
 /** A control process's targets without sockets: what it tells entries and others, and its disk. */
-abstract class SpreadFixture {
-    static final long SAVED_NANOS = 5_000_000_000L;
-    static final int COPIES = 2;
+abstract class TargetReplicationFixture {
+    static final long SAVE_TIMEOUT_NANOS = 5_000_000_000L;
+    static final int REQUIRED_ACKS = 2;
 
     @TempDir Path mFolder;
     long mNow;
     final MultiThreadIoEventLoopGroup mGroup =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    final List<Target> mTold = new ArrayList<>();
-    final List<Targets> mToldPeers = new ArrayList<>();
+    final List<Target> mSentToEntries = new ArrayList<>();
+    final List<Targets> mSentToPeers = new ArrayList<>();
     final EventLog mLog = EventLog.of("test");
     final MetricRegistry mMetrics = new MetricRegistry();
-    Deliveries mDeliveries;
-    RestartMemory mMemory;
-    TargetSpread mSpread;
+    AckedBroadcasts mBroadcasts;
+    WarmStartData mWarmStart;
+    TargetReplication mReplication;
 
     @BeforeEach
     void start() throws Exception {
         NettyLoop loop = new NettyLoop(mGroup.next());
-        RefusalLog refused = RefusalLog.create(mMetrics, mLog, () -> mNow);
-        mMemory = RestartMemory.in(DataFolder.open(mFolder), loop, mLog, refused, "127.0.0.1:1");
-        mDeliveries = new Deliveries(this::toPeers, () -> mNow, COPIES);
-        mSpread =
-                new TargetSpread(
-                        this::toPeers,
-                        mDeliveries,
-                        targets -> mTold.addAll(targets.getTargetsList()),
+        RefusalLog rejectedReports = RefusalLog.create(mMetrics, mLog, () -> mNow);
+        mWarmStart =
+                WarmStartData.open(
+                        DataFolder.open(mFolder), loop, mLog, rejectedReports, "127.0.0.1:1");
+        mBroadcasts = new AckedBroadcasts(this::sendToPeers, () -> mNow, REQUIRED_ACKS);
+        mReplication =
+                new TargetReplication(
+                        this::sendToPeers,
+                        mBroadcasts,
+                        targets -> mSentToEntries.addAll(targets.getTargetsList()),
                         () -> mNow,
                         mLog,
-                        mMemory,
-                        refused,
+                        mWarmStart,
+                        rejectedReports,
                         1000);
     }
 
     @AfterEach
     void stop() {
-        mMemory.close();
+        mWarmStart.close();
         mGroup.shutdownGracefully();
     }
 
@@ -80,22 +82,22 @@
         return new TargetReport(key, "s", "1.1.1.1:1", "z", "v", 4, false, 0, Map.of(), sequence);
     }
 
-    void restartWithMemoryOf(TargetReport report) throws Exception {
-        mSpread.onReport(report, true);
+    void restartWithSaved(TargetReport report) throws Exception {
+        mReplication.onReport(report, true);
         saveAndRestart();
     }
 
     void saveAndRestart() throws Exception {
-        mSpread.tick(true);
+        mReplication.tick(true);
         awaitSaved();
-        mMemory.close();
-        mTold.clear();
+        mWarmStart.close();
+        mSentToEntries.clear();
         start();
     }
 
     void awaitSaved() throws InterruptedException {
-        long until = System.nanoTime() + SAVED_NANOS;
-        while (!Files.exists(mFolder.resolve("hint-targets")) && System.nanoTime() < until) {
+        long deadline = System.nanoTime() + SAVE_TIMEOUT_NANOS;
+        while (!Files.exists(mFolder.resolve("hint-targets")) && System.nanoTime() < deadline) {
             Thread.sleep(5);
         }
     }
@@ -104,13 +106,13 @@
         return new TargetReport("a", "s", "1.1.1.1:1", "z", "v", 4, leaving, 0, Map.of(), sequence);
     }
 
-    void toPeers(PeerFrame.Builder frame) {
-        mToldPeers.add(frame.getTargets());
+    void sendToPeers(PeerFrame.Builder frame) {
+        mSentToPeers.add(frame.getTargets());
     }
 
-    void take(Targets told) {
-        for (int i = 0; i < COPIES; i++) {
-            mDeliveries.onTaken("peer-" + i, told.getNumber());
+    void acknowledge(Targets sent) {
+        for (int i = 0; i < REQUIRED_ACKS; i++) {
+            mBroadcasts.onAck("peer-" + i, sent.getNumber());
         }
     }
 
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/RestartMemoryFuzzTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/WarmStartDataFuzzTest.java
@@ -46,11 +46,11 @@
  * What a restart finds in its memory is what was stored there, by this process and as this kind, or
  * nothing; and it gives way to the first word of a later time.
  */
-class RestartMemoryFuzzTest {
+class WarmStartDataFuzzTest {
     private static final int SEEDS = Integer.getInteger("quilldyke.memory.seeds", 300);
     private static final String OWNER = "10.0.0.1:7340";
     private static final List<String> FILES = List.of("hint-targets", "hint-caches", "hint-leaves");
-    private static final long WRITTEN_BY = 2000;
+    private static final long WRITE_TIMEOUT_MILLIS = 2000;
 
     private final EventLog mLog = EventLog.of("test");
     private PowerLossDisk mDisk;
@@ -58,12 +58,12 @@
     private long mNow;
 
     @Test
-    void lossOfPowerLeavesWhatWasStoredBeforeOrAfter() throws Exception {
+    void powerLossLeavesTheOldOrTheNewData() throws Exception {
         for (int seed = 1; seed <= SEEDS; seed++) {
-            begin(seed);
-            Content before = Content.draw(mRandom);
+            setUp(seed);
+            Content before = Content.random(mRandom);
             save(OWNER, before);
-            Content after = Content.draw(mRandom);
+            Content after = Content.random(mRandom);
             mDisk.failAfter(mRandom.nextInt(30));
             try {
                 save(OWNER, after);
@@ -72,36 +72,36 @@
             }
             mDisk.losePower(mRandom);
 
-            RestartMemory memory = memory(OWNER, queue());
+            WarmStartData data = open(OWNER, queue());
 
             String where = "seed " + seed;
             assertWithMessage(where)
-                    .that(memory.targets())
-                    .isAnyOf(before.remembered(), after.remembered());
-            assertWithMessage(where).that(memory.caches()).isAnyOf(before.mCaches, after.mCaches);
-            assertWithMessage(where).that(memory.leaves()).isAnyOf(before.mLeaves, after.mLeaves);
+                    .that(data.targets())
+                    .isAnyOf(before.restoredTargets(), after.restoredTargets());
+            assertWithMessage(where).that(data.caches()).isAnyOf(before.mCaches, after.mCaches);
+            assertWithMessage(where).that(data.leaves()).isAnyOf(before.mLeaves, after.mLeaves);
         }
     }
 
     @Test
-    void bentFilesAreTakenForNone() throws Exception {
+    void corruptFilesAreIgnored() throws Exception {
         for (int seed = 1; seed <= SEEDS; seed++) {
-            begin(seed);
-            save(OWNER, Content.draw(mRandom));
+            setUp(seed);
+            save(OWNER, Content.random(mRandom));
             for (String name : FILES) {
                 Path file = mDisk.folder().resolve(name);
-                Files.write(file, bent(Files.readAllBytes(file)));
+                Files.write(file, corrupted(Files.readAllBytes(file)));
             }
 
-            assertNothingFound(OWNER, seed);
+            assertNothingRestored(OWNER, seed);
         }
     }
 
     @Test
-    void filesOfAnotherKindAreTakenForNone() throws Exception {
+    void filesOfAnotherKindAreIgnored() throws Exception {
         for (int seed = 1; seed <= SEEDS; seed++) {
-            begin(seed);
-            save(OWNER, Content.draw(mRandom));
+            setUp(seed);
+            save(OWNER, Content.random(mRandom));
             Path targets = mDisk.folder().resolve(FILES.get(0));
             Path caches = mDisk.folder().resolve(FILES.get(1));
             Path leaves = mDisk.folder().resolve(FILES.get(2));
@@ -110,99 +110,104 @@
             Files.write(caches, Files.readAllBytes(leaves));
             Files.write(leaves, ofTargets);
 
-            assertNothingFound(OWNER, seed);
+            assertNothingRestored(OWNER, seed);
         }
     }
 
     @Test
-    void filesOfAnotherMachineAreTakenForNone() throws Exception {
+    void filesOfAnotherMachineAreIgnored() throws Exception {
         for (int seed = 1; seed <= SEEDS; seed++) {
-            begin(seed);
-            save(OWNER, Content.draw(mRandom));
+            setUp(seed);
+            save(OWNER, Content.random(mRandom));
 
-            assertNothingFound(OWNER + mRandom.nextInt(10), seed);
-            assertNothingFound(OWNER.substring(0, mRandom.nextInt(OWNER.length())), seed);
+            assertNothingRestored(OWNER + mRandom.nextInt(10), seed);
+            assertNothingRestored(OWNER.substring(0, mRandom.nextInt(OWNER.length())), seed);
         }
     }
 
     @Test
-    void laterBirthsPutAnEndToWhatIsRemembered() throws Exception {
+    void laterIncarnationsReplaceRestoredData() throws Exception {
         for (int seed = 1; seed <= SEEDS; seed++) {
-            begin(seed);
-            Content stored = Content.draw(mRandom);
+            setUp(seed);
+            Content stored = Content.random(mRandom);
             save(OWNER, stored);
-            RestartMemory memory = memory(OWNER, queue());
+            WarmStartData data = open(OWNER, queue());
             TargetRegistry registry = TargetRegistry.create();
-            CacheMirror before = new CacheMirror();
-            CacheMirror after = new CacheMirror();
-            memory.targets().forEach(report -> registry.onReport(report, 0));
-            memory.caches().forEach(after::apply);
+            CacheInventory before = new CacheInventory();
+            CacheInventory after = new CacheInventory();
+            data.targets().forEach(report -> registry.onReport(report, 0));
+            data.caches().forEach(after::apply);
             for (TargetReport old : stored.mTargets) {
-                TargetReport later = Content.report(old.incarnation().id(), later(old), mRandom);
+                TargetReport later =
+                        Content.report(old.incarnation().id(), laterStartTime(old), mRandom);
                 registry.onReport(later, mRandom.nextInt(100));
-                before.onHolder(later.key());
-                after.onHolder(later.key());
+                before.observeHolder(later.key());
+                after.observeHolder(later.key());
                 assertThat(registry.report(old.key()).isPresent()).isFalse();
                 assertThat(registry.report(later.key()).get()).isEqualTo(later);
             }
-            memory.caches().forEach(before::apply);
+            data.caches().forEach(before::apply);
 
             String where = "seed " + seed;
             assertWithMessage(where).that(registry.removeRestored()).isEmpty();
-            assertWithMessage(where).that(before.whole()).isEmpty();
-            assertWithMessage(where).that(after.whole()).isEmpty();
+            assertWithMessage(where).that(before.snapshot()).isEmpty();
+            assertWithMessage(where).that(after.snapshot()).isEmpty();
         }
     }
 
-    private long later(TargetReport report) {
+    private long laterStartTime(TargetReport report) {
         return report.incarnation().startedAtMillis() + 1 + mRandom.nextInt(5);
     }
 
-    private void begin(int seed) {
+    private void setUp(int seed) {
         mRandom = new Random(seed);
         mRandom.nextInt();
         mDisk = PowerLossDisk.create();
         mNow = 0;
     }
 
-    private void assertNothingFound(String owner, int seed) throws Exception {
-        RestartMemory memory = memory(owner, queue());
-        assertWithMessage("seed " + seed).that(memory.targets()).isEmpty();
-        assertWithMessage("seed " + seed).that(memory.caches()).isEmpty();
-        assertWithMessage("seed " + seed).that(memory.leaves()).isEmpty();
+    private void assertNothingRestored(String owner, int seed) throws Exception {
+        WarmStartData data = open(owner, queue());
+        assertWithMessage("seed " + seed).that(data.targets()).isEmpty();
+        assertWithMessage("seed " + seed).that(data.caches()).isEmpty();
+        assertWithMessage("seed " + seed).that(data.leaves()).isEmpty();
     }
 
-    private VirtualDisk queue() {
-        return new VirtualDisk(mDisk, mRandom, new CheckReport("memory", 0));
+    private SimulatedDiskThread queue() {
+        return new SimulatedDiskThread(mDisk, mRandom, new CheckReport("memory", 0));
     }
 
-    private RestartMemory memory(String owner, VirtualDisk writes) throws QuilldykeException {
-        VirtualLoop loop = new VirtualLoop(() -> mNow);
-        RefusalLog refused = RefusalLog.create(new MetricRegistry(), mLog, () -> 0);
+    private WarmStartData open(String owner, SimulatedDiskThread diskThread)
+            throws QuilldykeException {
+        SimulatedControlLoop loop = new SimulatedControlLoop(() -> mNow);
+        RefusalLog rejectedReports = RefusalLog.create(new MetricRegistry(), mLog, () -> 0);
         DataFolder folder = DataFolder.open(mDisk.folder());
-        return RestartMemory.on(DiskQueue.on(writes, loop, mLog), folder, mLog, refused, owner);
+        return WarmStartData.withQueue(
+                DiskQueue.on(diskThread, loop, mLog), folder, mLog, rejectedReports, owner);
     }
 
     private void save(String owner, Content content) throws QuilldykeException {
-        VirtualDisk writes = queue();
-        RestartMemory memory = memory(owner, writes);
-        assertThat(memory.saveTargets(content.mTargets)).isTrue();
-        assertThat(memory.saveCaches(content.mCaches)).isTrue();
-        assertThat(memory.saveLeaves(content.mLeaves)).isTrue();
-        for (long until = mNow + WRITTEN_BY; mNow < until; mNow++) {
-            writes.run(mNow);
+        SimulatedDiskThread diskThread = queue();
+        WarmStartData data = open(owner, diskThread);
+        assertThat(data.saveTargets(content.mTargets)).isTrue();
+        assertThat(data.saveCaches(content.mCaches)).isTrue();
+        assertThat(data.saveLeaves(content.mLeaves)).isTrue();
+        for (long deadline = mNow + WRITE_TIMEOUT_MILLIS; mNow < deadline; mNow++) {
+            diskThread.runDue(mNow);
         }
     }
 
     /** Returns a file that is torn, longer, or differs in some bytes. */
-    private byte[] bent(byte[] whole) {
-        byte[] bent = Arrays.copyOf(whole, whole.length);
+    private byte[] corrupted(byte[] original) {
+        byte[] corrupted = Arrays.copyOf(original, original.length);
         switch (mRandom.nextInt(3)) {
-            case 0 -> bent = Arrays.copyOf(whole, mRandom.nextInt(whole.length));
-            case 1 -> bent = Arrays.copyOf(whole, whole.length + 1 + mRandom.nextInt(9));
-            default -> bent[mRandom.nextInt(bent.length)] ^= (byte) (1 << mRandom.nextInt(8));
+            case 0 -> corrupted = Arrays.copyOf(original, mRandom.nextInt(original.length));
+            case 1 -> corrupted = Arrays.copyOf(original, original.length + 1 + mRandom.nextInt(9));
+            default ->
+                    corrupted[mRandom.nextInt(corrupted.length)] ^=
+                            (byte) (1 << mRandom.nextInt(8));
         }
-        return bent;
+        return corrupted;
     }
 
     /** What a process knows at a time. */
@@ -211,29 +216,29 @@
         final List<CacheNews> mCaches = new ArrayList<>();
         final List<Target> mLeaves = new ArrayList<>();
 
-        static Content draw(Random random) {
+        static Content random(Random random) {
             Content content = new Content();
             int size = 1 + random.nextInt(5);
             for (int i = 0; i < size; i++) {
                 TargetReport report = report("i-" + i, 1 + random.nextInt(100), random);
                 content.mTargets.add(report);
                 content.mLeaves.add(TargetFrames.encode(Departure.upTo(report, 0), i));
-                CacheNews.Builder news =
+                CacheNews.Builder update =
                         CacheNews.newBuilder().setHolder(report.key()).setUp(true).setWhole(true);
-                random.longs(random.nextInt(6)).forEach(news::addAdded);
-                content.mCaches.add(news.build());
+                random.longs(random.nextInt(6)).forEach(update::addAdded);
+                content.mCaches.add(update.build());
             }
             return content;
         }
 
-        static TargetReport report(String id, long born, Random random) {
+        static TargetReport report(String id, long startedAtMillis, Random random) {
             String address = "10.0.1." + id.substring(2) + ":80";
             Map<String, Long> weights = Map.of("m", (long) random.nextInt(9));
             return new TargetReport(
-                    id + "#" + born, "s", address, "d", "v", 4, false, 0, weights, 3);
+                    id + "#" + startedAtMillis, "s", address, "d", "v", 4, false, 0, weights, 3);
         }
 
-        List<TargetReport> remembered() {
+        List<TargetReport> restoredTargets() {
             return mTargets.stream().map(TargetReport::asRestored).toList();
         }
     }
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/RestartMemoryTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/WarmStartDataTest.java
@@ -35,8 +35,8 @@
 import org.quilldyke.gateway.instance.proto.CacheNews;
 
 /** After a loss of all, prompts were read whole until the new leader had asked each engine. */
-class RestartMemoryTest {
-    private static final long SAVED_NANOS = 5_000_000_000L;
+class WarmStartDataTest {
+    private static final long SAVE_TIMEOUT_NANOS = 5_000_000_000L;
 
     @TempDir Path mFolder;
     private final MultiThreadIoEventLoopGroup mGroup =
@@ -48,51 +48,51 @@
     }
 
     @Test
-    void whatCachesKeptIsKnownAfterARestart() throws Exception {
-        CacheNews kept =
+    void cacheContentsSurviveARestart() throws Exception {
+        CacheNews update =
                 CacheNews.newBuilder().setHolder("i-1").setUp(true).addAdded(7).addAdded(9).build();
-        CacheMirror before = new CacheMirror();
-        before.apply(kept);
-        RestartMemory memory = memory();
-        assertThat(memory.caches()).isEmpty();
+        CacheInventory before = new CacheInventory();
+        before.apply(update);
+        WarmStartData data = open();
+        assertThat(data.caches()).isEmpty();
 
-        assertThat(memory.saveCaches(before.whole())).isTrue();
+        assertThat(data.saveCaches(before.snapshot())).isTrue();
 
-        long until = System.nanoTime() + SAVED_NANOS;
-        while (!Files.exists(mFolder.resolve("hint-caches")) && System.nanoTime() < until) {
+        long deadline = System.nanoTime() + SAVE_TIMEOUT_NANOS;
+        while (!Files.exists(mFolder.resolve("hint-caches")) && System.nanoTime() < deadline) {
             Thread.sleep(5);
         }
-        memory.close();
-        CacheMirror after = new CacheMirror();
-        memory().caches().forEach(after::apply);
-        assertThat(after.whole().get(0).getAddedList()).containsExactly(7L, 9L);
+        data.close();
+        CacheInventory after = new CacheInventory();
+        open().caches().forEach(after::apply);
+        assertThat(after.snapshot().get(0).getAddedList()).containsExactly(7L, 9L);
     }
 
     /** The engine has started again while the process was down. */
     @Test
-    void whatAnEarlierIncarnationKeptIsNotOfTheLater() throws Exception {
-        CacheMirror before = new CacheMirror();
+    void cacheContentsOfAnEarlierIncarnationAreDiscarded() throws Exception {
+        CacheInventory before = new CacheInventory();
         before.apply(CacheNews.newBuilder().setHolder("i-1#5").setUp(true).addAdded(7).build());
-        RestartMemory memory = memory();
-        memory.saveCaches(before.whole());
-        long until = System.nanoTime() + SAVED_NANOS;
-        while (!Files.exists(mFolder.resolve("hint-caches")) && System.nanoTime() < until) {
+        WarmStartData data = open();
+        data.saveCaches(before.snapshot());
+        long deadline = System.nanoTime() + SAVE_TIMEOUT_NANOS;
+        while (!Files.exists(mFolder.resolve("hint-caches")) && System.nanoTime() < deadline) {
             Thread.sleep(5);
         }
-        memory.close();
+        data.close();
 
-        CacheMirror after = new CacheMirror();
-        after.onHolder("i-1#7");
-        memory().caches().forEach(after::apply);
+        CacheInventory after = new CacheInventory();
+        after.observeHolder("i-1#7");
+        open().caches().forEach(after::apply);
 
-        assertThat(after.whole()).isEmpty();
+        assertThat(after.snapshot()).isEmpty();
     }
 
     @Test
-    void damagedMemoryIsTakenForNone() throws Exception {
+    void damagedFileIsIgnored() throws Exception {
         Files.write(mFolder.resolve("hint-caches"), new byte[] {1, 2, 3, 4, 5, 6});
 
-        assertThat(memory().caches()).isEqualTo(List.of());
+        assertThat(open().caches()).isEqualTo(List.of());
     }
 
     /**
@@ -101,8 +101,8 @@
      * of parts. By test only.
      */
     @Test
-    void memoryOfAnotherKindIsTakenForNone() throws Exception {
-        RestartMemory memory = memory();
+    void fileOfAnotherKindIsIgnored() throws Exception {
+        WarmStartData data = open();
         TargetReport report =
                 new TargetReport(
                         "i-1",
@@ -115,20 +115,20 @@
                         0,
                         Map.of("m", 7L),
                         3);
-        memory.saveTargets(List.of(report));
-        long until = System.nanoTime() + SAVED_NANOS;
-        while (!Files.exists(mFolder.resolve("hint-targets")) && System.nanoTime() < until) {
+        data.saveTargets(List.of(report));
+        long deadline = System.nanoTime() + SAVE_TIMEOUT_NANOS;
+        while (!Files.exists(mFolder.resolve("hint-targets")) && System.nanoTime() < deadline) {
             Thread.sleep(5);
         }
-        memory.close();
+        data.close();
         Files.copy(mFolder.resolve("hint-targets"), mFolder.resolve("hint-caches"));
 
-        assertThat(memory().caches()).isEmpty();
+        assertThat(open().caches()).isEmpty();
     }
 
-    private RestartMemory memory() throws Exception {
+    private WarmStartData open() throws Exception {
         EventLog log = EventLog.of("test");
-        return RestartMemory.in(
+        return WarmStartData.open(
                 DataFolder.open(mFolder),
                 new NettyLoop(mGroup.next()),
                 log,
