--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CallerConnection.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CallerConnection.java
@@ -49,11 +49,11 @@
 /**
  * One connection of a caller: reads a complete request, has it answered, then handles the next.
  *
- * <p>Messages that arrive while a request is answered are queued; reading goes on meanwhile, so
- * that a disconnected caller is noticed.
+ * <p>Messages that arrive while a request is answered are queued; reading continues meanwhile, so
+ * that a disconnect of the caller is detected.
  */
 final class CallerConnection extends ChannelInboundHandlerAdapter {
-    /** Queued messages of later requests at which reading pauses. */
+    /** Number of queued messages of later requests at which reading pauses. */
     private static final int MAX_QUEUED_MESSAGES = 64;
 
     /** Time within which a caller that has just connected sends its first request. */
@@ -87,7 +87,7 @@
         if (mClosing) {
             ReferenceCountUtil.release(message);
         } else if (mExchange != null || !mQueuedMessages.isEmpty() || !ctx.channel().isWritable()) {
-            // Keeps the order, also between the end of an answer and the task for queued messages.
+            // Preserves the order, also before processQueuedMessages() is called after an answer.
             mQueuedMessages.add(message);
             if (mQueuedMessages.size() >= MAX_QUEUED_MESSAGES) {
                 ctx.channel().config().setAutoRead(false);
@@ -147,7 +147,10 @@
         return mLastWrite != null && !mLastWrite.isDone();
     }
 
-    /** Ends what is open on the connection, since the instance has to stop now. */
+    /**
+     * Handles the shutdown deadline: terminates an open request, logs a complete answer that the
+     * caller has only partly read, or else closes the connection.
+     */
     void onShutdownDeadline() {
         if (mExchange != null) {
             mExchange.onShutdownDeadline();
@@ -167,7 +170,7 @@
         }
     }
 
-    /** Closes the connection if it is idle, unless its first request may be on its way. */
+    /** Closes the connection if it is idle, unless its first request may be in transit. */
     void closeIfIdle() {
         boolean isNew = mLastWrite == null && mEntry.now() - mOpenedAt < FIRST_REQUEST_MILLIS;
         if (!isBusy() && !isNew) {
@@ -191,7 +194,11 @@
         onAnswered();
     }
 
-    /** Sends an answer of the instance itself: the request is refused or has failed. */
+    /**
+     * Sends an answer of the instance itself: the request is refused or has failed.
+     *
+     * @param retryAfterMillis when the caller may retry, 0 if unknown
+     */
     void answer(ResultCode code, long retryAfterMillis) {
         String text = code.label() + " " + code.meaning() + "\n";
         HttpHeaders headers =
@@ -342,8 +349,8 @@
     }
 
     /**
-     * Handles queued messages while the channel is writable: answers are buffered in full, so the
-     * next one isn't requested before the caller has read the previous one.
+     * Handles queued messages while the channel is writable. Answers are buffered in full, so the
+     * next request isn't handled before the caller has read the previous answer.
      */
     private void processQueuedMessages() {
         while (mExchange == null && !mQueuedMessages.isEmpty() && mContext.channel().isWritable()) {
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CallerServer.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CallerServer.java
@@ -54,7 +54,7 @@
         return (int) mConnections.stream().filter(CallerConnection::isBusy).count();
     }
 
-    /** Accepts no more connections; call it on the traffic thread. */
+    /** Stops accepting connections; call it on the traffic thread. */
     public void closeListener() {
         mListener.close();
     }
@@ -62,7 +62,8 @@
     /**
      * Closes the connections without an open request; call it on the traffic thread.
      *
-     * @return the number of those that stay: with an open request, or so new that one may follow
+     * @return the number of connections that stay open: those with an open request, and those so
+     *     new that their first request may be in transit
      */
     public int closeIdle() {
         new ArrayList<>(mConnections).forEach(CallerConnection::closeIfIdle);
@@ -70,9 +71,10 @@
     }
 
     /**
-     * Ends all open requests and logs each; call it on the traffic thread.
+     * Terminates and logs all open requests and closes the other connections; call it on the
+     * traffic thread.
      *
-     * @return the number of connections with an open request
+     * @return the number of connections that had an open request
      */
     public int onShutdownDeadline() {
         int busy = busyConnections();
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CallerStream.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CallerStream.java
@@ -22,8 +22,8 @@
 
 /**
  * The events of one answer that are sent to its caller, from all targets that contribute to it.
- * Measures the time to the first event and the pauses, and holds events back while a successor is
- * starting.
+ * Measures the time to the first event and between events, and holds events back while a successor
+ * is starting.
  */
 final class CallerStream {
     private final CallerConnection mCaller;
@@ -110,7 +110,7 @@
         return mHeldEvents.poll();
     }
 
-    /** Discards the held events; a successor sends them again. */
+    /** Discards the held events: the successor sends them again, or the request has ended. */
     void releaseHeld() {
         mHeldEvents.forEach(event -> event.bytes().release());
         mHeldEvents.clear();
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/ConfigurationStatus.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/ConfigurationStatus.java
@@ -16,12 +16,12 @@
 package org.quilldyke.gateway.caller;
 
 /**
- * The configuration that decides on a request, for its log lines.
+ * The configuration that is applied to a request, for its log lines.
  *
  * @param version the manifest's version, -1 if none is known
  * @param logIndex the index in the replicated log at which it was accepted, -1 if none is known
- * @param confirmationAgeMillis time since the last answered request for confirmation was sent, -1
- *     if there was none
+ * @param confirmationAgeMillis time since the request was sent whose answer last confirmed the
+ *     configuration, -1 if it was never confirmed
  * @param confirmedBy the address of the control process that confirmed it, empty if none has
  */
 record ConfigurationStatus(
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CrashDetector.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CrashDetector.java
@@ -25,11 +25,14 @@
 
 /** Detects crashed targets and the requests that they ran. Used on the traffic thread. */
 final class CrashDetector {
-    /** Delay of a probe: the other connections of a terminated target close within this time. */
+    /**
+     * Delay of a probe, which is skipped while a connection is open: all connections of a
+     * terminated target close within this time.
+     */
     private static final long PROBE_DELAY_MILLIS = 20;
 
     private final EntryContext mEntry;
-    private final DisconnectedRuns mLostRuns = DisconnectedRuns.create();
+    private final DisconnectedRuns mDisconnectedRuns = DisconnectedRuns.create();
     private final SuspectRequests mSuspects = SuspectRequests.create();
     private CrashListener mListener = CrashListener.NONE;
 
@@ -45,9 +48,9 @@
         return mSuspects;
     }
 
-    /** Handles a run whose target closed the connection; a probe shows whether it terminated. */
-    void onRunLost(String target, RequestFingerprint request) {
-        mLostRuns.onDisconnected(target, request, mEntry.now());
+    /** Handles a run whose target closed the connection; a probe shows if the target terminated. */
+    void onRunDisconnected(String target, RequestFingerprint request) {
+        mDisconnectedRuns.onDisconnected(target, request, mEntry.now());
         mEntry.loop()
                 .schedule(
                         () -> mEntry.pool().probe(target),
@@ -55,18 +58,18 @@
                         TimeUnit.MILLISECONDS);
     }
 
-    /** A target refuses connections, is silent, or has restarted. */
+    /** A target refuses connections, is unresponsive, or has restarted. */
     void onTargetDown(String target) {
         long now = mEntry.now();
-        mLostRuns
+        mDisconnectedRuns
                 .onTargetEnded(target, now)
                 .filter(crash -> !mEntry.targetSelector().isLeaving(target))
                 .ifPresent(crash -> reportCrash(crash, now));
     }
 
-    /** A target has announced that it stops: runs that it ends then are no sign of a crash. */
+    /** A target has announced that it stops: connections that it then closes are no crash. */
     void onTargetLeft(String target) {
-        mLostRuns.onTargetLeft(target);
+        mDisconnectedRuns.onTargetLeft(target);
     }
 
     void onRunCompleted(RequestFingerprint request) {
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CrashListener.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/CrashListener.java
@@ -18,7 +18,7 @@
 import org.quilldyke.caller.RequestFingerprint;
 import org.quilldyke.caller.TargetCrash;
 
-/** Receives what an entry observes of targets' crashes, on the traffic thread. */
+/** Receives an entry's observations about crashes of targets, on the traffic thread. */
 public interface CrashListener {
     /** A listener that does nothing. */
     CrashListener NONE =
@@ -27,12 +27,16 @@
                 public void onCrash(TargetCrash crash) {}
 
                 @Override
-                public void onSuspectCompleted(RequestFingerprint request, long at) {}
+                public void onSuspectCompleted(RequestFingerprint request, long completedAt) {}
             };
 
     /** A target has terminated while it ran requests. */
     void onCrash(TargetCrash crash);
 
-    /** A request that is suspected to crash targets has completed. */
-    void onSuspectCompleted(RequestFingerprint request, long at);
+    /**
+     * A request that is suspected to crash targets has completed.
+     *
+     * @param completedAt when it completed, in milliseconds of the entry's clock
+     */
+    void onSuspectCompleted(RequestFingerprint request, long completedAt);
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/EntryContext.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/EntryContext.java
@@ -158,7 +158,7 @@
         }
         removeTarget(target);
         if (unannounced) {
-            openExchanges(target).forEach(exchange -> exchange.onTargetSilent(target));
+            openExchanges(target).forEach(exchange -> exchange.onTargetUnresponsive(target));
         }
     }
 
@@ -171,8 +171,7 @@
         removeTarget(target);
         openExchanges(target)
                 .forEach(
-                        exchange ->
-                                exchange.onTargetRestarted(target, "the target has started again"));
+                        exchange -> exchange.onTargetRestarted(target, "the target has restarted"));
     }
 
     private void removeTarget(String target) {
@@ -218,12 +217,15 @@
         return changed;
     }
 
-    /** Sets the consumer of limits that have changed here; replaces the previous one. */
+    /**
+     * Sets the consumer of limits that were read from answers here and differ from the previous
+     * ones; replaces the previous consumer.
+     */
     public void setLimitConsumer(Consumer<AdvertisedLimit> consumer) {
         mLimitConsumer = consumer;
     }
 
-    /** Notes that a target is about to load weights, or has finished doing so. */
+    /** Records that a target is about to load weights, or has finished doing so. */
     public void onLoading(String target, boolean loading) {
         mTargetSelector.onLoading(target, loading, now());
         if (loading) {
@@ -257,8 +259,8 @@
      * Starts to shut down: connections are closed after their answers, and requests that aren't
      * expected to complete in time are refused.
      *
-     * @param startedAt when the shutdown was requested
-     * @param endsAt when the last answer has to be written
+     * @param startedAt when the shutdown was requested, in milliseconds of {@link #now}
+     * @param endsAt when the last answer has to be written, in milliseconds of {@link #now}
      */
     public void drain(long startedAt, long endsAt) {
         mDrainStartedAt = OptionalLong.of(startedAt);
@@ -306,13 +308,13 @@
     }
 
     /**
-     * Notes that a control process has confirmed the current configuration.
+     * Records that a control process has confirmed the current configuration.
      *
-     * @param askedAt when the confirmation was requested, in milliseconds of the leases' clock
+     * @param requestedAt when the confirmation was requested, in milliseconds of the leases' clock
      * @param control the address of the control process
      */
-    public void onConfigurationConfirmed(long askedAt, String control) {
-        mKeyLease.onConfirmed(askedAt);
+    public void onConfigurationConfirmed(long requestedAt, String control) {
+        mKeyLease.onConfirmed(requestedAt);
         mConfirmedBy = control;
     }
 
@@ -324,13 +326,14 @@
 
     /**
      * Returns whether the configuration was confirmed within the time in which an accepted one must
-     * be in force. Only then are paths and keys denied that it doesn't hold.
+     * be in force, so that no newer one must be in force yet. Paths and keys that it doesn't
+     * contain are denied only then.
      */
     public boolean isConfigurationCurrent() {
         return mRoutes != null && confirmationAgeMillis() < mMaxApplyMillis;
     }
 
-    /** Returns whether the confirmation of the configuration is still valid. */
+    /** Returns whether the configuration was confirmed within the duration of the key lease. */
     public boolean isConfigurationConfirmed() {
         return mRoutes != null && mKeyLease.isValid(mLeaseClock.getAsLong());
     }
@@ -426,7 +429,7 @@
      *
      * @param loop the traffic thread
      * @param clock monotonic milliseconds
-     * @param leaseClock the clock of leases, in milliseconds
+     * @param leaseClock milliseconds of the {@link org.quilldyke.caller.LeaseClock}
      * @param dialect the wire formats of callers and targets
      * @param targetSelector the targets' states and the selection among them
      * @param retryBudget bounds the retries
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/EventSplitter.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/EventSplitter.java
@@ -40,7 +40,7 @@
         mBuffer = allocator.buffer();
     }
 
-    /** Adds bytes and returns the events that are complete now; the caller releases them. */
+    /** Adds bytes and returns the events that are complete now; the calling code releases them. */
     List<Event> add(ByteBuf bytes) {
         mBuffer.writeBytes(bytes);
         List<Event> events = new ArrayList<>();
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/Exchange.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/Exchange.java
@@ -41,8 +41,8 @@
     private final ExchangeLog mLog;
     private final long mArrivedAt;
     private final CallerStream mStream;
-    private final SilenceDetector mSilenceDetector;
-    private long mCallerMillisLeft = -1;
+    private final UnresponsiveTargetDetector mUnresponsiveDetector;
+    private long mMillisLeftAtArrival = -1;
     private ForwardRequest mRequest;
     private Forwarding mForwarding;
 
@@ -76,7 +76,7 @@
         mBody = body;
         mLog = new ExchangeLog(entry.log());
         mStream = new CallerStream(caller);
-        mSilenceDetector = new SilenceDetector(entry, this::onSilent);
+        mUnresponsiveDetector = new UnresponsiveTargetDetector(entry, this::onUnresponsive);
         mArrivedAt = entry.now();
     }
 
@@ -138,17 +138,17 @@
         }
     }
 
-    /** A target responds to no request; its run is kept until a successor starts to answer. */
-    void onTargetSilent(String target) {
+    /** A target is unresponsive; its run is kept until a successor starts to answer. */
+    void onTargetUnresponsive(String target) {
         if (isServedBy(target) && mayUseKey()) {
-            startSuccessor(mForwarding.onTargetUnresponsive(now()), "the target is silent");
+            startSuccessor(mForwarding.onTargetUnresponsive(now()), "the target is unresponsive");
         }
     }
 
-    /** The report may be wrong: a started answer is only replaced if its target stays silent. */
+    /** The report may be wrong: a started answer is only replaced if no more data arrives. */
     void onTargetRestarted(String target, String reason) {
         if (isServedBy(target) && mAnswer.hasStartedRun()) {
-            mSilenceDetector.onRestartReported();
+            mUnresponsiveDetector.onRestartReported();
         } else if (isServedBy(target)) {
             abandon(mAnswer);
             logAttempt(mAnswer, "broken", ResultCode.TARGET_LOST.label() + " " + reason);
@@ -169,7 +169,7 @@
     /** Moves a stream that would outlast the shutdown to a faster target. */
     void onShuttingDown() {
         if (!mEnded && mAnswer != null && !mReadingPaused) {
-            startSuccessor(mForwarding.onShutdownCheck(now()), "would outlast this instance");
+            startSuccessor(mForwarding.onShutdownCheck(now()), "would outlast the shutdown");
         }
     }
 
@@ -194,7 +194,7 @@
         } else {
             mForwarding.onSending();
             mSentAt = now();
-            mSilenceDetector.start(mAnswer, mForwarding.unresponsiveTimeoutMillis());
+            mUnresponsiveDetector.start(mAnswer, mForwarding.unresponsiveTimeoutMillis());
         }
     }
 
@@ -279,7 +279,7 @@
         mCaller.endStream();
     }
 
-    /** An answer was broken off, or isn't a valid one. */
+    /** An answer was interrupted or is invalid. */
     void onFailed(TargetAnswer answer, ResultCode code, String reason) {
         logAttempt(answer, "broken", code.label() + " " + reason);
         if (answer == mSuccessor) {
@@ -297,11 +297,11 @@
         if (mEntry.routes() != null && mEntry.keyLease().wasGranted()) {
             return false;
         }
-        if (mCallerMillisLeft < 0) {
-            mCallerMillisLeft =
+        if (mMillisLeftAtArrival < 0) {
+            mMillisLeftAtArrival =
                     mEntry.dialect().callers().read(mHead).millisLeft().orElse(Long.MAX_VALUE);
         }
-        return StartUpWait.mayWait(mArrivedAt, mCallerMillisLeft, now());
+        return StartUpWait.mayWait(mArrivedAt, mMillisLeftAtArrival, now());
     }
 
     private void perform(Step step) {
@@ -343,8 +343,9 @@
     }
 
     /**
-     * A started answer was allowed at its start. If the confirmation expires meanwhile, it may
-     * still continue elsewhere, just as an answer that stays at its target does.
+     * Returns whether the request may be sent as regards the caller's key. A started answer may
+     * continue at another target after the confirmation of the keys has expired, just as an answer
+     * that stays at its target does.
      */
     private boolean mayUseKey() {
         boolean needsKey = !mRequest.route().allowsAnonymous() && mEntry.routes().requiresKeys();
@@ -356,7 +357,7 @@
                 new TargetAnswer(this, mEntry, mRequest, send.choice(), mBody.alloc());
         mLog.routed(mRequest, send, mEntry.targetSelector(), mEntry.configurationStatus(), now());
         mEntry.metrics().onAttempt();
-        // Assigned before the start, which may call back at once.
+        // Assigned before start(), which may call back immediately.
         if (mAnswer == null) {
             mAnswer = answer;
         } else {
@@ -414,7 +415,7 @@
         mSuccessor = null;
         cancelHoldTimer();
         mStream.releaseHeld();
-        mSilenceDetector.start(mAnswer, mForwarding.unresponsiveTimeoutMillis());
+        mUnresponsiveDetector.start(mAnswer, mForwarding.unresponsiveTimeoutMillis());
     }
 
     /** Continues with the current answer, since the successor has failed. */
@@ -502,19 +503,19 @@
         perform(step);
     }
 
-    private void onSilent(long millis) {
+    private void onUnresponsive(long millis) {
         if (!mEnded && mAnswer != null && !mReadingPaused && mayUseKey()) {
-            startSuccessor(mForwarding.onTargetUnresponsive(now()), "silent for " + millis + " ms");
+            startSuccessor(mForwarding.onTargetUnresponsive(now()), "no data in " + millis + " ms");
         }
     }
 
-    /** Cancels an answer and keeps what the log line of a cut says about it. */
+    /** Cancels an answer and records the data that is logged about it if the request is cut. */
     private void abandon(TargetAnswer answer) {
-        mSilenceDetector.stop();
+        mUnresponsiveDetector.stop();
         answer.cancel();
         if (answer.hasStartedRun()) {
             String target = answer.choice().target();
-            mAbandoned = new ExchangeLog.AbandonedRun(target, now() - answer.lastHeardAt(), now());
+            mAbandoned = new ExchangeLog.AbandonedRun(target, now() - answer.lastDataAt(), now());
         }
     }
 
@@ -539,7 +540,7 @@
         if (mRequest != null) {
             mStream.recordDuration(mEntry.shutdownAdmission(), mRequest, mComplete, mSentAt, now());
         }
-        mSilenceDetector.stop();
+        mUnresponsiveDetector.stop();
         cancelAll();
         mBody.release();
         if (mDeadlineTimer != null) {
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/ExchangeLog.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/ExchangeLog.java
@@ -43,7 +43,7 @@
             ConfigurationStatus configuration,
             long now) {
         Choice choice = send.choice();
-        ReportOrigin told = targetSelector.reportOrigin(choice.target());
+        ReportOrigin reportOrigin = targetSelector.reportOrigin(choice.target());
         mLog.write(
                 Event.ROUTED,
                 "request",
@@ -81,9 +81,9 @@
                 "left_ms",
                 send.millisLeft(),
                 "told_by",
-                told.reporter(),
+                reportOrigin.reporter(),
                 "heard_before_ms",
-                told.ageMillis(now),
+                reportOrigin.ageMillis(now),
                 "version",
                 configuration.version(),
                 "index",
@@ -177,7 +177,7 @@
     }
 
     /**
-     * An answer was cut.
+     * An answer was cut: its connection to the caller was closed before it was complete.
      *
      * @param request the request
      * @param cut the decision
@@ -198,7 +198,7 @@
                 "target",
                 abandoned.target(),
                 "heard_ms",
-                abandoned.silentMillis(),
+                abandoned.millisWithoutData(),
                 "left_before_ms",
                 state.now() - abandoned.abandonedAt(),
                 "runs",
@@ -224,13 +224,13 @@
     }
 
     /**
-     * A run that was abandoned, complete or not.
+     * A run whose answer is no longer relayed, whether or not the run had completed.
      *
      * @param target its target
-     * @param silentMillis time since its last data, when it was abandoned
+     * @param millisWithoutData time since its last data, when it was abandoned
      * @param abandonedAt when it was abandoned
      */
-    record AbandonedRun(String target, long silentMillis, long abandonedAt) {}
+    record AbandonedRun(String target, long millisWithoutData, long abandonedAt) {}
 
     /**
      * The state in which an answer was cut.
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/HopByHopHeaders.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/HopByHopHeaders.java
@@ -25,7 +25,10 @@
 import java.util.Set;
 import java.util.function.Predicate;
 
-/** The headers that apply to one connection only and are never forwarded (RFC 9110, 7.6.1). */
+/**
+ * The headers that are never forwarded: those that apply to one connection only (RFC 9110, 7.6.1),
+ * and the content length and expectation, which are handled separately for each connection.
+ */
 final class HopByHopHeaders {
     private static final Set<String> NAMES =
             Set.of(
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/RequestAdmission.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/RequestAdmission.java
@@ -40,7 +40,7 @@
      *
      * @param entry holds the configuration
      * @param head the head of the caller's request
-     * @param body its body, whose reader index stays
+     * @param body its body, whose reader index isn't changed
      * @param arrivedAt when it was read, in milliseconds of the entry's clock
      * @throws QuilldykeException if the configuration isn't known or confirmed, or holds no such
      *     route or key, or if the head can't be parsed; nothing has run then
@@ -86,7 +86,7 @@
 
     /**
      * Returns the denial of an unknown path or key. Callers don't retry after it, so it needs a
-     * current configuration: the path or key may have been added meanwhile.
+     * current configuration: a newer one may contain the path or key.
      */
     private static QuilldykeException denied(EntryContext entry, ResultCode code, String detail) {
         return entry.isConfigurationCurrent()
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/TargetAnswer.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/TargetAnswer.java
@@ -53,7 +53,7 @@
     private ByteBuf mBody;
     private EventSplitter mEventSplitter;
     private long mSentAt;
-    private long mLastHeardAt;
+    private long mLastDataAt;
 
     /** When the last event arrived; {@link #NO_EVENT} at the start and after a pause in reading. */
     private long mLastEventAt = NO_EVENT;
@@ -69,7 +69,7 @@
         mRequest = request;
         mChoice = choice;
         mAllocator = allocator;
-        mLastHeardAt = entry.now();
+        mLastDataAt = entry.now();
     }
 
     /** Sends the request. */
@@ -79,7 +79,7 @@
                 mEntry.pool().send(mChoice.target(), mChoice.address(), out, mRequest.id(), this);
     }
 
-    /** Cancels the attempt; the target notices by the closed connection. */
+    /** Cancels the attempt; the closed connection notifies the target. */
     void cancel() {
         if (mAttempt != null) {
             mAttempt.cancel();
@@ -88,9 +88,9 @@
         releaseBuffers();
     }
 
-    /** Pauses or resumes reading; a pause doesn't count as silence of the target. */
+    /** Pauses or resumes reading; a pause doesn't count as time without data. */
     void setReading(boolean reading) {
-        mLastHeardAt = mEntry.now();
+        mLastDataAt = mEntry.now();
         mLastEventAt = NO_EVENT;
         if (mAttempt != null) {
             mAttempt.setReading(reading);
@@ -110,9 +110,12 @@
         return mSentAt;
     }
 
-    /** Returns when the target last sent data for this request, or else was chosen. */
-    long lastHeardAt() {
-        return mLastHeardAt;
+    /**
+     * Returns since when data is awaited: when the last data arrived, the request was sent, or
+     * reading was paused or resumed, whichever was last; until then, when the target was chosen.
+     */
+    long lastDataAt() {
+        return mLastDataAt;
     }
 
     /** Returns whether the answer says that the target runs the request or has run it. */
@@ -133,7 +136,7 @@
         return HopByHopHeaders.endToEnd(mHead.headers(), name -> false);
     }
 
-    /** Returns the body of an answer that isn't a stream; the caller releases it. */
+    /** Returns the body of an answer that isn't a stream; the calling code releases it. */
     ByteBuf takeBody() {
         ByteBuf body = mBody;
         mBody = null;
@@ -149,7 +152,7 @@
     @Override
     public void onSending() {
         mSentAt = mEntry.now();
-        mLastHeardAt = mSentAt;
+        mLastDataAt = mSentAt;
         mExchange.onSending(this);
     }
 
@@ -158,7 +161,8 @@
         mHead = head;
         mFacts = mEntry.dialect().targets().read(head);
         if (!answerHead().wrongTarget()) {
-            // Otherwise another process may have answered, which is no sign of life of this target.
+            // Otherwise another process may have answered, which doesn't show that the target
+            // responds.
             recordLiveness();
         }
         recordWeights();
@@ -192,8 +196,8 @@
     @Override
     public void onComplete() {
         if (!isFramed()) {
-            // Without framing, the end of the answer can't be told from the end of the target.
-            onRunLost();
+            // Without framing, a complete answer looks like one truncated by a crash of the target.
+            onRunDisconnected();
         } else if (answerHead().isSuccess() && answerHead().isGenuine()) {
             mEntry.crashDetector().onRunCompleted(mRequest.fingerprint());
         }
@@ -211,7 +215,7 @@
     @Override
     public void onFailed(ResultCode code, String reason) {
         if (code == ResultCode.TARGET_LOST) {
-            onRunLost();
+            onRunDisconnected();
         }
         closeAttempt();
         releaseBuffers();
@@ -224,8 +228,8 @@
         mExchange.onFailed(this, code, reason);
     }
 
-    private void onRunLost() {
-        mEntry.crashDetector().onRunLost(mChoice.target(), mRequest.fingerprint());
+    private void onRunDisconnected() {
+        mEntry.crashDetector().onRunDisconnected(mChoice.target(), mRequest.fingerprint());
     }
 
     private boolean isFramed() {
@@ -249,14 +253,14 @@
     private void recordEventInterval() {
         if (mLastEventAt != NO_EVENT) {
             mEntry.targetSelector()
-                    .onEvent(mChoice.target(), mLastHeardAt - mLastEventAt, mLastHeardAt);
+                    .onEvent(mChoice.target(), mLastDataAt - mLastEventAt, mLastDataAt);
         }
-        mLastEventAt = mLastHeardAt;
+        mLastEventAt = mLastDataAt;
     }
 
     private void recordLiveness() {
-        mLastHeardAt = mEntry.now();
-        mEntry.targetSelector().onDataReceived(mChoice.target(), mLastHeardAt);
+        mLastDataAt = mEntry.now();
+        mEntry.targetSelector().onDataReceived(mChoice.target(), mLastDataAt);
     }
 
     private void recordWeights() {
@@ -267,12 +271,15 @@
         }
     }
 
-    /** A missing limit means that there is none only in the answer to a request that has run. */
+    /**
+     * Records the limit in the answer. An answer without one means that the target has no limit,
+     * but only if the request has run.
+     */
     private void recordLimit() {
         LimitFact limit = mFacts.limit();
         if (limit.isRead() && (limit.perSecond().isPresent() || hasRun())) {
             double perSecond = limit.perSecond().orElse(AdvertisedLimit.NONE);
-            mEntry.onLimitInAnswer(new AdvertisedLimit(mChoice.target(), perSecond, mLastHeardAt));
+            mEntry.onLimitInAnswer(new AdvertisedLimit(mChoice.target(), perSecond, mLastDataAt));
         }
     }
 
@@ -280,7 +287,7 @@
         return answerHead().isGenuine() && !answerHead().isNotRun();
     }
 
-    /** Ends the attempt, whatever its outcome. */
+    /** Removes the attempt from the open ones, successful or not. */
     private void closeAttempt() {
         if (mAttempt != null) {
             mAttempt = null;
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/SilenceDetector.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/caller/UnresponsiveTargetDetector.java
@@ -20,16 +20,16 @@
 import java.util.function.LongConsumer;
 import org.quilldyke.caller.RestartReport;
 
-/** Checks repeatedly whether the target of an answer has been silent for too long. */
-final class SilenceDetector {
-    /** Interval between checks once the target is silent. */
+/** Checks repeatedly whether the target of an answer has sent no data for too long. */
+final class UnresponsiveTargetDetector {
+    /** Interval between checks once the time-out has passed. */
     private static final long RECHECK_MILLIS = 200;
 
     private final EntryContext mEntry;
-    private final LongConsumer mOnSilent;
+    private final LongConsumer mOnUnresponsive;
     private ScheduledFuture<?> mTimer;
     private TargetAnswer mAnswer;
-    private long mMaxSilenceMillis;
+    private long mTimeoutMillis;
 
     /** The report that the target has restarted; null if there is none or it was refuted. */
     private RestartReport mRestartReport;
@@ -38,18 +38,19 @@
      * Creates a detector that monitors no answer yet.
      *
      * @param entry provides the thread and the clock
-     * @param onSilent receives the milliseconds of silence at each check that exceeds the limit
+     * @param onUnresponsive receives, at each check after the time-out, the milliseconds since the
+     *     last data
      */
-    SilenceDetector(EntryContext entry, LongConsumer onSilent) {
+    UnresponsiveTargetDetector(EntryContext entry, LongConsumer onUnresponsive) {
         mEntry = entry;
-        mOnSilent = onSilent;
+        mOnUnresponsive = onUnresponsive;
     }
 
     /** Monitors an answer instead of the previous one; not at all for {@link Long#MAX_VALUE}. */
-    void start(TargetAnswer answer, long maxSilenceMillis) {
+    void start(TargetAnswer answer, long timeoutMillis) {
         stop();
         mAnswer = answer;
-        mMaxSilenceMillis = maxSilenceMillis;
+        mTimeoutMillis = timeoutMillis;
         mRestartReport = null;
         scheduleNextCheck();
     }
@@ -70,30 +71,30 @@
 
     private void check() {
         long now = mEntry.now();
-        if (now < silenceTimeoutAt()) {
+        if (now < timeoutAt()) {
             scheduleNextCheck();
             return;
         }
         scheduleCheckAfter(RECHECK_MILLIS);
-        mOnSilent.accept(now - mAnswer.lastHeardAt());
+        mOnUnresponsive.accept(now - mAnswer.lastDataAt());
     }
 
     private void scheduleNextCheck() {
-        if (mMaxSilenceMillis != Long.MAX_VALUE) {
-            scheduleCheckAfter(Math.max(1, silenceTimeoutAt() - mEntry.now()));
+        if (mTimeoutMillis != Long.MAX_VALUE) {
+            scheduleCheckAfter(Math.max(1, timeoutAt() - mEntry.now()));
         }
     }
 
-    /** Returns when the target will have been silent for too long if nothing arrives before. */
-    private long silenceTimeoutAt() {
-        long lastHeardAt = mAnswer.lastHeardAt();
-        if (mRestartReport != null && mRestartReport.isRefuted(lastHeardAt)) {
+    /** Returns when the time-out passes if no more data arrives. */
+    private long timeoutAt() {
+        long lastDataAt = mAnswer.lastDataAt();
+        if (mRestartReport != null && mRestartReport.isRefuted(lastDataAt)) {
             mRestartReport = null;
         }
-        long timeoutAt = lastHeardAt + mMaxSilenceMillis;
+        long regularTimeoutAt = lastDataAt + mTimeoutMillis;
         return mRestartReport == null
-                ? timeoutAt
-                : Math.min(timeoutAt, mRestartReport.acceptedAt(lastHeardAt));
+                ? regularTimeoutAt
+                : Math.min(regularTimeoutAt, mRestartReport.acceptedAt(lastDataAt));
     }
 
     private void scheduleCheckAfter(long millis) {
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/Attempt.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/Attempt.java
@@ -58,7 +58,7 @@
         return mRequest;
     }
 
-    /** Returns the request id that the answer must carry, empty if none. */
+    /** Returns the request's id, empty if none; an answer with another id is skipped. */
     String requestId() {
         return mRequestId;
     }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/AttemptListener.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/AttemptListener.java
@@ -30,12 +30,12 @@
     /** The head of the answer has arrived. */
     void onHead(HttpResponse head);
 
-    /** A part of the answer's body has arrived; the caller releases it. */
+    /** A part of the answer's body has arrived; it is released after this call. */
     void onBody(ByteBuf bytes);
 
     /** The answer is complete. */
     void onComplete();
 
-    /** The answer was broken off, is missing or invalid; no other call follows. */
+    /** The answer was interrupted, is missing or invalid; no other call follows. */
     void onFailed(ResultCode code, String reason);
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/EngineClient.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/EngineClient.java
@@ -39,12 +39,12 @@
 public final class EngineClient {
     /**
      * A reachable engine answers within about 10 ms. An order without an answer may be carried out
-     * seconds later, and the engine serves nothing until it is sent again; the revision that the
-     * order expects prevents a second execution.
+     * seconds later, and the engine serves nothing until the order is sent again; the revision that
+     * the order expects prevents a second execution.
      */
     private static final long TIMEOUT_MILLIS = 300;
 
-    /** Engines hold calls for cache events for less than 500 ms; the rest is for the network. */
+    /** Engines delay answers with cache events by less than 500 ms; the rest is for the network. */
     private static final long CACHE_TIMEOUT_MILLIS = 800;
 
     private static final int MAX_BODY_BYTES = 1 << 20;
@@ -102,6 +102,7 @@
     /**
      * Waits for changes in the cache of an engine or a store.
      *
+     * @param since the position after the last event received, see {@link CacheEvents#next}
      * @param callback receives them on the traffic thread, empty if there is no valid answer
      */
     public void pollCacheEvents(
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/RefusalLog.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/RefusalLog.java
@@ -139,7 +139,7 @@
         return mLineLimit.admit(kind, mClock.getAsLong());
     }
 
-    /** Keeps text from others from ending a log line or making it too long. */
+    /** Prevents text from other processes from ending a log line or making it too long. */
     private static String printable(String text) {
         String prefix =
                 text.length() <= MAX_TEXT_CHARS ? text : text.substring(0, MAX_TEXT_CHARS) + "...";
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/TargetConnection.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/TargetConnection.java
@@ -35,18 +35,22 @@
 /**
  * One connection to a target, which carries one request at a time.
  *
- * <p>Strict, since targets may break off answers, send more than one, or send a late one in place
- * of the next: an answer is accepted only if it is framed and complete and carries the request's
- * id. Unsolicited bytes close the connection.
+ * <p>Strict, since targets may interrupt answers, send more than one, or send a late one in place
+ * of the next: an answer with the id of another request is skipped, an answer without framing is
+ * complete only if the connection closes without an error, and the connection isn't used again
+ * after either. Unsolicited bytes close the connection.
  */
 final class TargetConnection extends ChannelInboundHandlerAdapter {
     /**
-     * How long an idle connection is kept if the target names no time; common servers keep theirs
-     * at least as long.
+     * How long an idle connection is kept if the target sends no keep-alive time-out; common
+     * servers keep theirs at least as long.
      */
     private static final long DEFAULT_IDLE_MILLIS = 4000;
 
-    /** Time before the target's close in which no request is sent, so that none crosses it. */
+    /**
+     * Time before the target closes an idle connection in which no request is sent, so that none is
+     * in transit at the close.
+     */
     private static final long IDLE_MARGIN_MILLIS = 700;
 
     private static final Pattern KEEP_ALIVE_TIMEOUT = Pattern.compile("timeout\\s*=\\s*(\\d{1,6})");
@@ -130,7 +134,7 @@
             mListenerFailed = true;
             mPool.onInternalError(cause);
         }
-        // A reset: the answer may be incomplete, even if its framing says otherwise.
+        // After a reset, the answer may be incomplete even if its framing says otherwise.
         mConnectionFailed = true;
         ctx.close();
     }
@@ -142,7 +146,7 @@
         mPool.onClosed(this);
         if (attempt != null) {
             String error =
-                    mListenerFailed ? "an internal fault of this instance" : "connection reset";
+                    mListenerFailed ? "an internal error of this instance" : "connection reset";
             attempt.listener()
                     .onFailed(
                             ResultCode.TARGET_LOST,
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/TargetConnectionPool.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/engine/TargetConnectionPool.java
@@ -91,7 +91,7 @@
      * @param target the target's id: a connection is never used for another one at the same address
      * @param address the address at which it accepts requests
      * @param request the request; released when it is written or cancelled
-     * @param requestId the id that the answer must carry, empty if none
+     * @param requestId the request's id, empty if none; an answer with another id is skipped
      * @param listener receives the outcome
      */
     public Attempt send(
@@ -197,7 +197,8 @@
             }
             mProbing = true;
             TargetConnection connection = new TargetConnection(this, mDialect);
-            openChannel(connection).addListener((ChannelFuture made) -> onProbed(made, connection));
+            openChannel(connection)
+                    .addListener((ChannelFuture connecting) -> onProbed(connecting, connection));
         }
 
         private void onProbed(ChannelFuture connecting, TargetConnection connection) {
@@ -216,8 +217,8 @@
         }
 
         /**
-         * Reports a refused connection, since no process listens there. A target whose connection
-         * timed out may only be cut off by the network.
+         * Reports a refused connection, since no process listens there. A connection time-out isn't
+         * reported: it may be due to the network alone.
          */
         private void notifyIfRefused(Throwable cause) {
             if (cause instanceof ConnectException && !(cause instanceof ConnectTimeoutException)) {
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/http/HttpListener.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/http/HttpListener.java
@@ -31,7 +31,7 @@
 
 /** Binds server sockets for HTTP connections. */
 public final class HttpListener {
-    /** Holds the callers that all connect at once after an outage. */
+    /** Large enough for the callers that all connect at once after an outage. */
     private static final int BACKLOG = 1024;
 
     private HttpListener() {}
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/http/RequestFraming.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/http/RequestFraming.java
@@ -47,11 +47,11 @@
             throw malformed("unsupported version " + head.protocolVersion());
         }
         if (!head.uri().startsWith("/")) {
-            throw malformed("the request target is not a path");
+            throw malformed("the request URI is not a path");
         }
         List<String> hosts = headers.getAll(HttpHeaderNames.HOST);
         if (hosts.size() != 1) {
-            throw malformed(hosts.size() + " hosts");
+            throw malformed(hosts.size() + " Host headers");
         }
         List<String> lengths = headers.getAll(HttpHeaderNames.CONTENT_LENGTH);
         List<String> codings = headers.getAll(HttpHeaderNames.TRANSFER_ENCODING);
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/caller/EventSplitterTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/caller/EventSplitterTest.java
@@ -36,7 +36,7 @@
     void keepsBytesAndParsesNumbers() {
         List<EventSplitter.Event> events = split(STREAM, STREAM.length());
 
-        assertThat(texts(events)).isEqualTo(STREAM);
+        assertThat(joinedText(events)).isEqualTo(STREAM);
         assertThat(events.stream().map(EventSplitter.Event::number).toList())
                 .containsExactly(1L, 3L, EventSplitter.NO_NUMBER, EventSplitter.NO_NUMBER)
                 .inOrder();
@@ -48,7 +48,7 @@
         List<EventSplitter.Event> events = split(STREAM, size);
 
         assertThat(events).hasSize(4);
-        assertThat(texts(events)).isEqualTo(STREAM);
+        assertThat(joinedText(events)).isEqualTo(STREAM);
     }
 
     @Test
@@ -70,7 +70,7 @@
         return events;
     }
 
-    private static String texts(List<EventSplitter.Event> events) {
+    private static String joinedText(List<EventSplitter.Event> events) {
         StringBuilder all = new StringBuilder();
         events.forEach(event -> all.append(event.bytes().toString(StandardCharsets.UTF_8)));
         return all.toString();
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/http/HttpListenerTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/http/HttpListenerTest.java
@@ -39,8 +39,9 @@
 
     @Test
     void addressInUseHasResultCode() throws Exception {
-        try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            String address = "127.0.0.1:" + taken.getLocalPort();
+        try (ServerSocket boundSocket =
+                new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+            String address = "127.0.0.1:" + boundSocket.getLocalPort();
             QuilldykeException error =
                     assertThrows(
                             QuilldykeException.class,
