--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/AckedBroadcasts.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/AckedBroadcasts.java
@@ -28,14 +28,14 @@
 import org.quilldyke.gateway.instance.proto.Targets;
 
 /**
- * News that others count on once they are acknowledged: they are known at so many other control
- * processes that those which may be lost can't take them along.
+ * Broadcasts about targets that are acknowledged to their sender only once enough other control
+ * processes have stored them, so that the tolerated number of process losses can't lose them.
  */
 final class AckedBroadcasts {
-    /** A target waits for a second, and asks another process then. */
+    /** Targets wait one second for a response, and then try another process. */
     static final long TIMEOUT_MILLIS = 700;
 
-    /** What needs no delivery. */
+    /** The result where no broadcast is needed. */
     static final CompletableFuture<Boolean> COMPLETED = CompletableFuture.completedFuture(true);
 
     private final Consumer<PeerFrame.Builder> mToPeers;
@@ -46,9 +46,9 @@
     private long mLastNumber;
 
     /**
-     * @param toPeers sends a frame to all other control processes in reach
+     * @param toPeers sends a frame to all reachable control processes
      * @param clock monotonic milliseconds
-     * @param requiredAcks how many of them have to take news
+     * @param requiredAcks how many of them have to store a broadcast
      */
     AckedBroadcasts(Consumer<PeerFrame.Builder> toPeers, LongSupplier clock, int requiredAcks) {
         mToPeers = toPeers;
@@ -57,9 +57,9 @@
     }
 
     /**
-     * Tells news to all other control processes in reach.
+     * Sends targets to all reachable control processes.
      *
-     * @return whether enough of them have taken the news, within {@link #TIMEOUT_MILLIS}
+     * @return whether enough of them have stored the targets within {@link #TIMEOUT_MILLIS}
      */
     CompletableFuture<Boolean> broadcast(Targets targets) {
         PendingBroadcast pending = new PendingBroadcast(mClock.getAsLong());
@@ -72,7 +72,8 @@
     }
 
     /**
-     * Does so, unless it was done for the same subject.
+     * Sends targets to all reachable control processes, unless an earlier broadcast with the same
+     * key has succeeded.
      *
      * @return as {@link #broadcast}
      */
@@ -90,17 +91,17 @@
                         });
     }
 
-    /** News of a subject are to be delivered again. */
+    /** Causes the next broadcast with the key to be sent again. */
     void forget(String key) {
         mDeliveredKeys.remove(key);
     }
 
-    /** Forgets the subjects that there are no more. */
+    /** Removes the keys that no longer exist. */
     void retain(Predicate<String> exists) {
         mDeliveredKeys.removeIf(exists.negate());
     }
 
-    /** Takes the word of another control process that it has taken the news with a number. */
+    /** Handles another control process's acknowledgement that it has stored a broadcast. */
     void onAck(String from, long number) {
         PendingBroadcast pending = mPending.get(number);
         if (pending != null) {
@@ -109,7 +110,7 @@
         }
     }
 
-    /** Gives up those that wait for too long; call it often. */
+    /** Fails the broadcasts whose timeout has passed; called periodically. */
     void expire() {
         long limit = mClock.getAsLong() - TIMEOUT_MILLIS;
         for (Map.Entry<Long, PendingBroadcast> entry : Map.copyOf(mPending).entrySet()) {
@@ -120,7 +121,7 @@
         }
     }
 
-    /** Returns the answer to news with a number. */
+    /** Returns the frame that acknowledges a broadcast. */
     static PeerFrame.Builder ackFrame(long number) {
         return PeerFrame.newBuilder().setTaken(Taken.newBuilder().setNumber(number));
     }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CacheEventReader.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CacheEventReader.java
@@ -26,10 +26,10 @@
 import org.quilldyke.routing.CacheKeys;
 
 /**
- * How far the events of one holder's cache are read, and what they tell of it.
+ * Reads the cache events of one holder, and turns them into cache updates.
  *
- * <p>Only the incarnation that is read counts. The answer of an earlier one changes nothing; that
- * of a later one shows that nothing is kept any more of what this one kept, and tells nothing else.
+ * <p>Only responses of the holder's own incarnation are applied. Those of an earlier incarnation
+ * are ignored; those of a later one show only that the cache of this one is lost.
  */
 final class CacheEventReader {
     private final String mHolder;
@@ -41,11 +41,11 @@
     private long mNextEvent;
 
     /**
-     * Creates a reader that has read nothing.
+     * Creates a reader that starts at the first event.
      *
      * @param holder the key of the engine's incarnation, or the address of the store
-     * @param address where it takes requests
-     * @param log where losses go
+     * @param address where the holder accepts requests
+     * @param log receives events about unreachable and restarted holders
      */
     CacheEventReader(String holder, String address, EventLog log) {
         mHolder = holder;
@@ -61,22 +61,22 @@
         return mAddress;
     }
 
-    /** Returns the event after which to go on. */
+    /** Returns the position after the last event that was read. */
     long nextEvent() {
         return mNextEvent;
     }
 
-    /** Returns whether the holder answers, as far as known. */
+    /** Returns whether the holder responded to the last poll, as far as known. */
     boolean isUp() {
         return mUp;
     }
 
-    /** Returns whether the last answer was one, so that the holder may be asked again at once. */
+    /** Returns whether the last poll succeeded, so that the next one may follow without delay. */
     boolean lastPollSucceeded() {
         return mLastPollSucceeded;
     }
 
-    /** Takes an answer, or that there was none; returns what is to be told. */
+    /** Handles the result of a poll, empty if it failed; returns the update to publish, if any. */
     Optional<CacheNews> onPollResult(Optional<CacheEvents> events) {
         Incarnation incarnation = Incarnation.ofKey(mHolder);
         mLastPollSucceeded = events.isPresent() && incarnation.mayMatch(events.get().born());
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CacheEventWatcher.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CacheEventWatcher.java
@@ -32,11 +32,13 @@
 import org.quilldyke.manifest.Service;
 
 /**
- * Watches what engines and stores keep of prompts, and tells it to all instances in short form.
+ * Polls the cache events of engines and KV stores, and publishes them to all instances in compact
+ * form.
  *
- * <p>Only the leader watches: an engine bears few readers, and one is enough. A holder that doesn't
- * answer is asked again, and all instances hear of it: they avoid it unless they hear it
- * themselves. What an engine kept is believed lost only if it says that it has restarted.
+ * <p>Only the leader polls: an engine can serve only a few readers, and one is enough. A holder
+ * that does not respond is polled again and reported as unreachable to all instances, which avoid
+ * it unless they reach it themselves. Its cached blocks are discarded only once it reports a
+ * restart.
  */
 final class CacheEventWatcher {
     private static final long RETRY_DELAY_MILLIS = 400;
@@ -57,14 +59,14 @@
         mPublish = publish;
     }
 
-    /** Takes the services: which have engines, and which are stores. */
+    /** Sets the services, which determine the engines and KV stores to poll. */
     void onManifest(Manifest manifest) {
         Map<String, Service> services = new HashMap<>();
         manifest.services().forEach(service -> services.put(service.name(), service));
         mServices = services;
     }
 
-    /** Begins to watch what is new, and stops to watch what is gone. */
+    /** Starts to poll new holders, and stops polling those that no longer exist. */
     void tick(boolean leads, List<TargetReport> targets) {
         mLeads = leads;
         if (!leads) {
@@ -90,7 +92,7 @@
         mReaders.keySet().retainAll(watched);
     }
 
-    /** Returns the holders that don't answer just now. */
+    /** Returns the holders that do not respond at present. */
     Set<String> unresponsive() {
         Set<String> unresponsive = new HashSet<>();
         mReaders.values().stream()
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CacheInventory.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CacheInventory.java
@@ -27,18 +27,20 @@
 import org.quilldyke.gateway.instance.proto.CacheNews;
 
 /**
- * What engines and stores keep, as a control process has heard it: for entries that have just
- * started, and so that others are told only what is new to them. Of an engine that has started
- * again nothing is kept that an earlier incarnation kept.
+ * The cached blocks of all engines and KV stores, as far as this control process knows them.
+ *
+ * <p>Provides the full contents for entries that have just connected, and filters updates so that
+ * only changes are forwarded. When an engine restarts, the contents of its earlier incarnation are
+ * discarded.
  */
 final class CacheInventory {
-    /** More parts than any engine of today's sites keeps; the oldest are forgotten beyond. */
+    /** Engines hold fewer blocks; beyond the limit the oldest are evicted. */
     private static final int MAX_BLOCKS_PER_HOLDER = 8192;
 
     private final LatestIncarnations mLatestIncarnations = LatestIncarnations.create();
     private final Map<String, CachedBlocks> mHolders = new HashMap<>();
 
-    /** Takes news; returns what of them is new. */
+    /** Applies an update and returns the changes that it makes, if any. */
     Optional<CacheNews> apply(CacheNews update) {
         if (!observeHolder(update.getHolder())) {
             return Optional.empty();
@@ -69,9 +71,9 @@
     }
 
     /**
-     * Notes that a holder is known, and forgets its earlier incarnations.
+     * Records that a holder exists, and removes its earlier incarnations.
      *
-     * @return whether it is the latest of its id
+     * @return whether it is the latest incarnation of its id
      */
     boolean observeHolder(String id) {
         Incarnation incarnation = Incarnation.ofKey(id);
@@ -79,13 +81,13 @@
         return !mLatestIncarnations.isSuperseded(incarnation);
     }
 
-    /** Forgets a holder that is gone, and its earlier incarnations. */
+    /** Removes a holder that no longer exists, and its earlier incarnations. */
     void remove(String id) {
         observeHolder(id);
         mHolders.remove(id);
     }
 
-    /** Returns all of it, a message for each holder. */
+    /** Returns the full contents, with one update for each holder. */
     List<CacheNews> snapshot() {
         List<CacheNews> updates = new ArrayList<>();
         mHolders.forEach(
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CacheUpdateBatch.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CacheUpdateBatch.java
@@ -21,23 +21,23 @@
 import org.quilldyke.gateway.instance.proto.Caches;
 
 /**
- * News of caches that wait to be told together, in the order in which they came.
+ * Collects cache updates for publication in batches, in the order of their arrival.
  *
- * <p>An entry pays for each frame that it is told, so their number must not grow with the engines:
- * told one by one, 56 engines at 170 prompts a second make some 200 a second at each entry.
+ * <p>Entries pay a cost for each frame they receive, so the number of frames must not grow with the
+ * number of engines: sent one by one, the updates of 56 engines at 170 prompts a second make some
+ * 200 frames a second at each entry.
  */
 final class CacheUpdateBatch {
     private Caches.Builder mPending = Caches.newBuilder();
     private long mLastTakenAt = Long.MIN_VALUE / 2;
 
-    /** Adds what waits for the next batch. */
     void add(CacheNews update) {
         mPending.addCaches(update);
     }
 
     /**
-     * Takes all that waits, if there is anything and {@link TellingRates#newsMillis} have passed
-     * since the last time.
+     * Removes and returns all pending updates, if there are any and {@link TellingRates#newsMillis}
+     * have passed since the last batch.
      */
     Optional<Caches> takeDue(long now) {
         boolean tooEarly = now - mLastTakenAt < TellingRates.newsMillis();
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/ControlNode.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/ControlNode.java
@@ -56,9 +56,12 @@
 import org.quilldyke.manifest.Service;
 import org.quilldyke.weights.EngineFleet;
 
-/** One control process: its replica, its peers, its entries. Lives on the control thread. */
+/**
+ * A control process: its replica, its links to other control processes and its entry sessions.
+ * Confined to the control thread.
+ */
 public final class ControlNode implements SessionServer.Handler, ReplicaNode.Listener {
-    /** Replicas some milliseconds apart on processors that may pause: times of Raft. */
+    /** Raft timing for replicas that are some milliseconds apart, on processors that may pause. */
     private static final long HEARTBEAT_MILLIS = 80;
 
     private static final long ELECTION_TIMEOUT_MILLIS = 450;
@@ -66,10 +69,13 @@
 
     private static final long TICK_MILLIS = 50;
 
-    /** An engine of today's sites reads one or two long prompts within this time. */
+    /** An engine prefills one or two long prompts within this time. */
     private static final long CACHE_SAVE_INTERVAL_MILLIS = 300;
 
-    /** A process that hasn't heard a leader for this long can't say that a target is silent. */
+    /**
+     * Without contact to a leader for this long, a process cannot tell which targets are
+     * unresponsive.
+     */
     private static final long LEADER_CONTACT_TIMEOUT_MILLIS = 1500;
 
     private final NettyLoop mLoop;
@@ -182,16 +188,16 @@
     }
 
     /**
-     * Starts a control process's part of the group; call it on the control thread.
+     * Starts the control process; called on the control thread.
      *
      * @param settings the settings
      * @param loop the control thread
      * @param clock monotonic milliseconds
-     * @param log where events go
-     * @param engineClient speaks to engines
-     * @param dialect reads manifests
-     * @param rejectedReports takes notice of what can't be taken of what others say of targets
-     * @param startedAt when the process began
+     * @param log the event log
+     * @param engineClient sends requests to engines
+     * @param dialect parses manifests
+     * @param rejectedReports records invalid reports on targets
+     * @param startedAt when the process started, in milliseconds of {@code clock}
      * @throws QuilldykeException if the data folder can't be read
      */
     public static ControlNode start(
@@ -229,24 +235,24 @@
         return node;
     }
 
-    /** Returns how a replica of this fleet takes part. */
+    /** Returns the Raft settings of a replica. */
     static ReplicaSettings settingsOf(ReplicaIdentity identity, int toleratedLosses) {
         return ReplicaSettings.of(identity.id(), identity.initialMembership())
                 .withTimes(HEARTBEAT_MILLIS, ELECTION_TIMEOUT_MILLIS, LEADER_LEASE_MILLIS)
                 .withToleratedLosses(toleratedLosses);
     }
 
-    /** Takes seeds that the settings name now. */
+    /** Replaces the seed addresses after the settings have changed. */
     public void onSeeds(Set<String> seeds) {
         mSeeds = Set.copyOf(seeds);
     }
 
-    /** Hands leadership on and waits for nothing. */
+    /** Transfers leadership without waiting for the transfer. */
     public void transferLeadership() {
         mGroup.node().transferLeadership();
     }
 
-    /** Stops without a word to the others, and closes the files. */
+    /** Stops without notifying other processes, and closes the files. */
     public void stop() throws QuilldykeException {
         mStopped = true;
         mPeers.close();
@@ -254,7 +260,7 @@
         mGroup.node().stop();
     }
 
-    /** Publishes a manifest; completes when it, or a newer one, is committed. */
+    /** Publishes a manifest; completes when this or a newer version is committed. */
     public CompletableFuture<Void> publish(long version, byte[] document) {
         if (mStateMachine.state().version() >= version) {
             return CompletableFuture.completedFuture(null);
@@ -276,7 +282,9 @@
                                         compressed.length));
     }
 
-    /** Names weights; completes when they, or newer ones, are committed. */
+    /**
+     * Sets the version of a model's weights; completes when this or a newer version is committed.
+     */
     public CompletableFuture<Void> nameWeights(String model, long version) {
         if (mStateMachine.state().weights().getOrDefault(model, 0L) >= version) {
             return CompletableFuture.completedFuture(null);
@@ -295,7 +303,7 @@
                                         result.index()));
     }
 
-    /** Returns the newest manifest as its operator wrote it, once that is sure. */
+    /** Returns the newest manifest as the operator wrote it, after a linearizable read. */
     public CompletableFuture<byte[]> readManifest() {
         CompletableFuture<byte[]> result = new CompletableFuture<>();
         mReadConfirmations.confirm(
@@ -316,23 +324,25 @@
     }
 
     /**
-     * Takes a target's report; returns whether it may be acknowledged: this process is in touch
-     * with the others, and they hold as much of it as must not be lost.
+     * Handles a target's report.
      *
+     * @return whether it may be acknowledged: this process is in contact with a leader, and enough
+     *     other processes have stored what must not be lost
      * @throws QuilldykeException {@link ResultCode#REPORT_SERVICE} if no service has its name,
-     *     {@link ResultCode#REPORT_INVALID} if it says nothing of weights that the target holds
+     *     {@link ResultCode#REPORT_INVALID} if it omits the weights of a target that is known to
+     *     hold some
      */
     public CompletableFuture<Boolean> onReport(ControlCall.Report call) throws QuilldykeException {
         return mTargets.onReport(call.report(), call.tellsWeights())
                 .thenApply(delivered -> delivered && hasRecentLeader());
     }
 
-    /** Takes the news that a target is gone; returns whether it may be acknowledged. */
+    /** Handles a target's leave notice; returns whether it may be acknowledged. */
     public CompletableFuture<Boolean> onLeave(String target) {
         return mTargets.onLeave(target).thenApply(delivered -> delivered && hasRecentLeader());
     }
 
-    /** Returns whether a leader was heard lately. */
+    /** Returns whether this process was in contact with a leader recently. */
     public boolean hasRecentLeader() {
         long seenAt = mGroup.node().leaderSeenAt();
         return !mGroup.node().leader().isEmpty()
@@ -359,7 +369,7 @@
             case LIMITS -> mLimits.onPeerReport(frame.getLimits());
             case CACHES -> mEntries.onCacheUpdates(frame.getCaches().getCachesList());
             default -> {
-                // A sign of life.
+                // Only shows that the peer is alive.
             }
         }
         mPeers.connect(Set.of(frame.getAddress()));
@@ -374,7 +384,7 @@
     public void onLeadership(boolean leads) {
         mWeights.onLeadership(leads);
         if (leads) {
-            // From now on others hear of changes only.
+            // The leader sends only changes from here on.
             mEntries.cacheContents().forEach(mCacheUpdates::add);
         }
     }
@@ -436,7 +446,7 @@
                                 mPeers.send(address, PeerFrame.newBuilder().setCrashes(crashes)));
     }
 
-    /** Tells all what caches changed since the last time. */
+    /** Sends the pending cache updates to all peers and entries. */
     private void publishCacheUpdates() {
         mCacheUpdates
                 .takeDue(mClock.getAsLong())
@@ -455,7 +465,7 @@
         }
     }
 
-    /** Once for all changes that the log makes in one go. */
+    /** Runs once for all log entries that are applied together. */
     private void publishState() {
         mPublishScheduled = false;
         mEntries.publishState();
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CrashReplication.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CrashReplication.java
@@ -31,10 +31,11 @@
 import org.quilldyke.gateway.instance.proto.PeerFrame;
 
 /**
- * The requests that crash targets, known at all control processes and all entries.
+ * Replicates the evidence on requests that crash targets among all control processes, and publishes
+ * the resulting suspects to entries.
  *
- * <p>Entries tell of the crashes that they have seen. Control processes hand that on to each other,
- * so that all conclude the same, and tell entries what follows.
+ * <p>Entries report the crashes that they observe. Control processes forward the reports to each
+ * other, so that all of them reach the same conclusions.
  */
 final class CrashReplication {
     private final PoisonRequestDetector mDetector = PoisonRequestDetector.create();
@@ -59,7 +60,7 @@
         apply(warmStart.crashes()).ifPresent(changes -> evaluate());
     }
 
-    /** Takes what an entry has seen, and hands on what is news. */
+    /** Handles an entry's report, and forwards what is new to other control processes. */
     void onEntryReport(CrashNews report) {
         apply(report)
                 .ifPresent(
@@ -69,22 +70,22 @@
                         });
     }
 
-    /** Takes what another control process knows. */
+    /** Handles a report of another control process. */
     void onPeerReport(CrashNews report) {
         apply(report).ifPresent(changes -> evaluate());
     }
 
-    /** Returns all that is known, for other control processes; nothing if nothing is. */
+    /** Returns all evidence, for other control processes; empty if there is none. */
     Optional<CrashNews> snapshotForPeers() {
         return unlessEmpty(CrashFrames.encode(mDetector, mClock.getAsLong()));
     }
 
-    /** Returns what follows for entries. */
+    /** Returns all suspects, for entries. */
     CrashNews suspects() {
         return encode(mDetector.suspects());
     }
 
-    /** Stores what is known, if that has changed. */
+    /** Saves the evidence if it has changed. */
     void tick() {
         if (mSaveNeeded) {
             mSaveNeeded =
@@ -92,7 +93,7 @@
         }
     }
 
-    /** Takes news; returns what of them wasn't known, nothing if all was. */
+    /** Applies a report; returns the part that was new, empty if there was none. */
     private Optional<CrashNews> apply(CrashNews report) {
         long now = mClock.getAsLong();
         CrashNews.Builder changes = CrashNews.newBuilder();
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/EntryLoads.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/EntryLoads.java
@@ -27,17 +27,18 @@
 import org.quilldyke.gateway.instance.proto.TargetLoad;
 
 /**
- * What entry processes have open at targets: each entry's own, of those that tell it here, and the
- * sums of what is told to each other control process.
+ * The load that entries place on targets: each local entry's own, and the totals that other control
+ * processes report.
  *
- * <p>Sums are enough, and grow with the targets only; told entry by entry, every 100 ms and to each
- * other control process, loads grow with entries times targets.
+ * <p>Control processes exchange totals only, since these grow with the number of targets alone.
+ * Per-entry loads, sent every 100 ms to each other control process, would grow with the number of
+ * entries times that of targets.
  */
 final class EntryLoads {
-    /** A load that was told this long ago says nothing any more. */
+    /** Loads reported longer ago than this are ignored. */
     static final long STALE_MILLIS = 1500;
 
-    /** An entry that was silent this long no longer has a part of what is shared. */
+    /** An entry not seen for this long no longer counts in retry budgets and entry ranks. */
     static final long ENTRY_EXPIRY_MILLIS = 20_000;
 
     private final Map<String, ReportedLoads> mLocal = new HashMap<>();
@@ -45,13 +46,13 @@
     private final Map<String, Long> mEntrySeenAt = new HashMap<>();
     private Map<String, Integer> mRanks = Map.of();
 
-    /** Takes what an entry told here. */
+    /** Stores the load that an entry reports to this process. */
     void onLoad(String entry, List<TargetLoad> targets, long now) {
         mLocal.put(entry, new ReportedLoads(targets, now));
         onEntrySeen(entry, now);
     }
 
-    /** Notes that what an entry told here last is still so. */
+    /** Records that an entry's last report is still accurate. */
     void onKeepAlive(String entry, long now) {
         mLocal.computeIfPresent(
                 entry, (id, reported) -> new ReportedLoads(reported.targets(), now));
@@ -64,23 +65,23 @@
         }
     }
 
-    /** Notes that an entry tells what it has open elsewhere, or has ended. */
+    /** Removes the load of an entry that reports to another process or has stopped. */
     void removeLocal(String entry) {
         mLocal.remove(entry);
     }
 
-    /** Takes the sums of another control process. */
+    /** Stores the totals of another control process. */
     void onPeerLoads(String control, Loads loads, long now) {
         mRemote.put(control, new ReportedLoads(loads.getTargetsList(), now));
         loads.getEntriesList().forEach(entry -> onEntrySeen(entry, now));
     }
 
-    /** Returns the sums of what entries have told here lately. */
+    /** Returns the totals of the entries that recently reported to this process. */
     List<TargetLoad> localLoads(long now) {
         return listOf(sums(mLocal.values(), now));
     }
 
-    /** Returns the entries that have told something here lately. */
+    /** Returns the entries that recently reported to this process. */
     Set<String> localEntries(long now) {
         Set<String> entries = new HashSet<>();
         mLocal.forEach(
@@ -92,7 +93,7 @@
         return entries;
     }
 
-    /** Returns how many entries there are. */
+    /** Returns the number of entries at all control processes. */
     int entryCount(long now) {
         if (mEntrySeenAt.values().removeIf(at -> now - at > ENTRY_EXPIRY_MILLIS)) {
             mRanks = Map.of();
@@ -101,7 +102,7 @@
         return mEntrySeenAt.size();
     }
 
-    /** Returns an entry's place among all by name, from 1 on; 0 if it isn't known. */
+    /** Returns an entry's 1-based position among all entries by name; 0 if it is unknown. */
     int rank(String entry) {
         if (mRanks.isEmpty()) {
             mRanks = new HashMap<>();
@@ -112,14 +113,14 @@
         return mRanks.getOrDefault(entry, 0);
     }
 
-    /** Returns how many requests all entries have open at each target, as of {@code now}. */
+    /** Returns the number of open requests at each target, of all entries, as of {@code now}. */
     Map<String, Integer> openRequests(long now) {
         Map<String, Integer> open = new HashMap<>();
         totals(now).mSums.forEach((id, sum) -> open.put(id, sum.getRequests()));
         return open;
     }
 
-    /** Returns what all entries have open together, as of {@code now}. */
+    /** Returns the load of all entries together, as of {@code now}. */
     Totals totals(long now) {
         Map<String, TargetLoad.Builder> sums = sums(mLocal.values(), now);
         sums(mRemote.values(), now).values().forEach(sum -> add(sums, sum.build(), 1));
@@ -149,7 +150,7 @@
                 .toList();
     }
 
-    /** The sums over all entries, made once for all who ask. */
+    /** The totals of all entries, computed once for all recipients. */
     final class Totals {
         private final Map<String, TargetLoad.Builder> mSums;
         private final long mNow;
@@ -159,7 +160,7 @@
             mNow = now;
         }
 
-        /** Returns what all entries but one have open, by target. */
+        /** Returns the load by target of all entries but the given one. */
         List<TargetLoad> excluding(String entry) {
             Map<String, TargetLoad.Builder> others = new TreeMap<>();
             mSums.forEach((id, sum) -> others.put(id, sum.clone()));
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/EntrySessions.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/EntrySessions.java
@@ -53,9 +53,12 @@
 import org.quilldyke.manifest.FleetState;
 import org.quilldyke.routing.TargetState;
 
-/** The entry processes that listen here: they get all news at once, and answers when confirmed. */
+/**
+ * The sessions of entry processes that are connected to this control process. They receive all
+ * updates immediately, and a response to a query once the read is confirmed.
+ */
 final class EntrySessions {
-    /** Loads that haven't changed are told this often, so that they don't go stale. */
+    /** Unchanged loads are repeated at this interval, so that they do not become stale. */
     private static final long LOADS_REFRESH_MILLIS = 500;
 
     private static final long SESSION_TIMEOUT_MILLIS = 3000;
@@ -89,12 +92,12 @@
     }
 
     /**
-     * Connects the sessions with what they ask.
+     * Sets the parts that sessions use.
      *
-     * @param confirm takes who waits for a confirmation that all that was accepted is known here
-     * @param targets takes the targets that entries know, and tells all
-     * @param crashes takes the crashes that entries have seen
-     * @param limits takes the limits that targets have named at entries
+     * @param confirm confirms that this replica has applied all that was committed before
+     * @param targets stores the targets that entries know, and provides all targets
+     * @param crashes stores the crashes that entries have observed
+     * @param limits stores the limits that targets have advertised to entries
      */
     void connect(
             Consumer<Consumer<Boolean>> confirm,
@@ -107,7 +110,7 @@
         mLimits = limits;
     }
 
-    /** Takes the state after a change; {@link #publishState} tells it to all. */
+    /** Stores the state after a change; {@link #publishState} sends it to all entries. */
     void onState(FleetState state) {
         mState = state;
         mStatePublished = false;
@@ -119,8 +122,8 @@
     }
 
     /**
-     * Tells all the present state if that hasn't been done. Of many changes at once, as after a
-     * start, only the last is told.
+     * Sends the state to all entries if it has changed since the last time. Of several changes at
+     * once, as after a start, only the last state is sent.
      */
     void publishState() {
         if (mStatePublished || !mState.hasManifest()) {
@@ -132,7 +135,7 @@
         sendToAll(configuration(newDocument));
     }
 
-    /** Tells targets to all. */
+    /** Sends changed targets to all entries. */
     void onTargets(Targets targets) {
         for (Target target : targets.getTargetsList()) {
             if (target.getStanding() == Target.Standing.GONE) {
@@ -144,17 +147,17 @@
         sendToAll(ControlFrame.newBuilder().setTargets(targets).build());
     }
 
-    /** Tells all what is concluded of requests that may crash targets. */
+    /** Sends changed suspects to all entries. */
     void onCrashes(CrashNews suspects) {
         sendToAll(ControlFrame.newBuilder().setCrashes(suspects).build());
     }
 
-    /** Tells all what targets say of the requests that they take. */
+    /** Sends changed limits to all entries. */
     void onLimits(Limits limits) {
         sendToAll(ControlFrame.newBuilder().setLimits(limits).build());
     }
 
-    /** Tells all that an engine is about to load weights, or has done so. */
+    /** Notifies all entries that an engine is about to load weights, or has finished. */
     void onLoading(Loading loading) {
         if (loading.getLoading()) {
             mLoadingSince.put(loading.getTarget(), mClock.getAsLong());
@@ -164,7 +167,10 @@
         sendToAll(ControlFrame.newBuilder().setLoading(loading).build());
     }
 
-    /** Tells entries that listen mainly here what has changed in caches, in one frame. */
+    /**
+     * Applies cache updates, and sends the changes in one frame to entries whose main session is
+     * here.
+     */
     void onCacheUpdates(List<CacheNews> updates) {
         Caches.Builder changes = Caches.newBuilder();
         updates.forEach(update -> mCacheInventory.apply(update).ifPresent(changes::addCaches));
@@ -174,22 +180,22 @@
         }
     }
 
-    /** Returns all that is known of caches. */
+    /** Returns the contents of all caches. */
     List<CacheNews> cacheContents() {
         return mCacheInventory.snapshot();
     }
 
-    /** Takes what entries told at another control process. */
+    /** Stores the loads that entries reported to another control process. */
     void onLoads(String control, Loads loads) {
         mLoads.onPeerLoads(control, loads, mClock.getAsLong());
     }
 
-    /** Returns how many requests all entries have open at each target. */
+    /** Returns the number of open requests at each target, of all entries. */
     Map<String, Integer> openRequests() {
         return mLoads.openRequests(mClock.getAsLong());
     }
 
-    /** Tells all processes what entries have open; ends sessions that are silent. */
+    /** Sends loads to peers and entries when due, and closes sessions that have timed out. */
     void tick() {
         long now = mClock.getAsLong();
         if (now - mLoadsSentToPeersAt >= TellingRates.loadsMillis()) {
@@ -213,7 +219,7 @@
         mainSessions().forEach(session -> session.sendLoads(totals.excluding(session.mEntry)));
     }
 
-    /** Tells other control processes the sums of what was told here, if they don't know them. */
+    /** Sends the totals of local loads to peers if they have changed or a refresh is due. */
     private void sendLoadsToPeers(long now) {
         List<TargetLoad> local = mLoads.localLoads(now);
         boolean refresh = now - mLoadsRefreshedAt >= LOADS_REFRESH_MILLIS;
@@ -237,7 +243,7 @@
         mSessions.forEach(session -> session.send(frame));
     }
 
-    /** Takes a new stream. */
+    /** Opens a session for a new stream. */
     SessionServer.EntrySession open(StreamObserver<ControlFrame> out) {
         return new Session(out);
     }
@@ -269,7 +275,7 @@
         private long mLastFrameAt = mClock.getAsLong();
         private boolean mMain;
 
-        /** Nothing at first: what another control process told the entry isn't known here. */
+        /** Empty at first: what another control process sent to the entry is unknown here. */
         private Optional<List<TargetLoad>> mLastLoadsSent = Optional.empty();
 
         Session(StreamObserver<ControlFrame> out) {
@@ -346,14 +352,14 @@
             mConfirm.accept(
                     confirmed -> {
                         if (confirmed && mSessions.contains(this)) {
-                            // All that was accepted goes before the answer.
+                            // All committed state must reach the entry before the answer.
                             publishState();
                             send(answer(question.getNumber()));
                         }
                     });
         }
 
-        /** Begins to tell the entry of caches and loads, or ends it. */
+        /** Starts or stops sending cache contents and loads to the entry. */
         private void setMain(boolean main) {
             if (main == mMain) {
                 return;
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/FleetJson.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/FleetJson.java
@@ -28,7 +28,7 @@
 import org.quilldyke.manifest.FleetCommand;
 import org.quilldyke.manifest.FleetState;
 
-/** The log's commands, the state that they make, and a replica's identity, as JSON. */
+/** JSON encoding of log commands, of state snapshots and of a replica's identity. */
 final class FleetJson {
     private static final String TYPE = "type";
     private static final String VERSION = "version";
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/FleetStateMachine.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/FleetStateMachine.java
@@ -21,7 +21,7 @@
 import org.quilldyke.manifest.FleetResult;
 import org.quilldyke.manifest.FleetState;
 
-/** The newest manifest and named weights, as the replicated log makes them. */
+/** The replicated state machine that holds the newest manifest and the named weights. */
 final class FleetStateMachine implements ReplicatedMachine<FleetResult> {
     private final Consumer<FleetState> mListener;
     private FleetState mState = FleetState.create();
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/LimitReplication.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/LimitReplication.java
@@ -27,8 +27,8 @@
 import org.quilldyke.routing.AdvertisedLimit;
 
 /**
- * What targets say of the requests that they take, told to all entries: one that hears a target
- * seldom learns from the others that a limit begins, changes or ends.
+ * Replicates the limits that targets advertise to all entries, so that an entry that seldom sends
+ * requests to a target learns from the others that a limit starts, changes or ends.
  */
 final class LimitReplication {
     private static final int MAX_TARGETS = 4096;
@@ -45,7 +45,7 @@
         mClock = clock;
     }
 
-    /** Takes what an entry has heard of targets, and tells all others what is new. */
+    /** Handles an entry's report, and forwards what is new to all peers and entries. */
     void onEntryReport(Limits report) {
         Limits changes = apply(report);
         if (changes.getLimitsCount() > 0) {
@@ -54,7 +54,7 @@
         }
     }
 
-    /** Takes what another control process was told, and tells the entries here what is new. */
+    /** Handles a peer's report, and forwards what is new to the entries of this process. */
     void onPeerReport(Limits report) {
         Limits changes = apply(report);
         if (changes.getLimitsCount() > 0) {
@@ -62,7 +62,7 @@
         }
     }
 
-    /** Returns the last word of each target, also that it names no limit any more. */
+    /** Returns the latest message of each target, including those that end a limit. */
     Limits snapshot() {
         return LimitFrames.encode(List.copyOf(mLatestLimits.values()), mClock.getAsLong());
     }
@@ -77,7 +77,7 @@
                             || limit.receivedAt() >= known.receivedAt()
                                     && limit.shouldPublishAfter(known);
             if (isNew) {
-                // Put anew, so that it is dropped after those of whom nothing was heard for longer.
+                // Moved to the end: targets without recent messages are evicted first.
                 mLatestLimits.remove(limit.target());
                 mLatestLimits.put(limit.target(), limit);
                 changes.add(limit);
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/MembershipManager.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/MembershipManager.java
@@ -25,7 +25,7 @@
 import org.quilldyke.gateway.instance.proto.Join;
 import org.quilldyke.gateway.instance.proto.PeerFrame;
 
-/** Keeps the group complete: the leader changes the membership, others ask to be members. */
+/** Maintains the group's membership: the leader changes it, other replicas request to join. */
 final class MembershipManager {
     private static final long JOIN_INTERVAL_MILLIS = 500;
 
@@ -49,14 +49,14 @@
         mPlanner = MembershipPlanner.create(toleratedLosses);
     }
 
-    /** Takes the wish of another replica to be a member. */
+    /** Handles another replica's request to join. */
     void onJoin(Join join) {
         if (mGroup.leads()) {
             mPlanner.onJoinRequest(new Membership.Member(join.getId(), join.getAddress()));
         }
     }
 
-    /** Changes the membership, if a change is due, or asks to be a member. */
+    /** Proposes a membership change if one is due, or requests to join. */
     void tick(Set<String> seeds) {
         Replica replica = mGroup.node().replica();
         Set<String> addresses = new HashSet<>(seeds);
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/Proposals.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/Proposals.java
@@ -33,13 +33,13 @@
 import org.quilldyke.manifest.FleetResult;
 
 /**
- * Has commands committed, at this replica if it leads, else at the leader.
+ * Proposes commands, at this replica if it leads, otherwise at the leader.
  *
- * <p>A command is tried again, also after an answer was lost: all commands bear a version, so that
- * a second copy changes nothing.
+ * <p>A command is retried even if the response to it was lost: all commands carry a version, so
+ * that a duplicate changes nothing.
  */
 final class Proposals {
-    /** A command without a result by then has none: operators wait for a second or more. */
+    /** Commands without a result by then fail; operators wait for a second or longer. */
     static final long TIMEOUT_MILLIS = 900;
 
     private static final long RETRY_DELAY_MILLIS = 40;
@@ -59,7 +59,9 @@
         mClock = clock;
     }
 
-    /** Has a command committed; fails with {@link ResultCode#NO_LEADER} when the time is over. */
+    /**
+     * Proposes a command; fails with {@link ResultCode#NO_LEADER} after {@link #TIMEOUT_MILLIS}.
+     */
     CompletableFuture<FleetResult> propose(FleetCommand command) {
         byte[] encoded = FleetJson.encode(command);
         CompletableFuture<FleetResult> result = new CompletableFuture<>();
@@ -67,7 +69,7 @@
         return result;
     }
 
-    /** Takes another replica's command. */
+    /** Handles a command that another replica forwards. */
     void onProposal(String from, Proposal proposal) {
         mGroup.node()
                 .propose(proposal.getCommand().toByteArray())
@@ -84,7 +86,7 @@
                         });
     }
 
-    /** Takes the leader's answer. */
+    /** Handles the leader's response. */
     void onResult(ProposalResult result) {
         CompletableFuture<FleetResult> pending = mAwaitingResult.remove(result.getNumber());
         if (pending == null) {
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/ReadConfirmations.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/ReadConfirmations.java
@@ -29,14 +29,15 @@
 import org.quilldyke.gateway.instance.proto.PeerFrame;
 
 /**
- * Confirms that what is applied here includes all that was committed before a question came.
+ * Confirms that this replica has applied all that was committed before a read arrived, as Raft's
+ * ReadIndex does.
  *
- * <p>The leader confirms a question when a majority has heard it after the question came. Another
- * replica asks the leader, one question for all that wait, and then waits until it has applied what
- * was committed by then.
+ * <p>The leader confirms a read once a majority has responded to it after the read arrived. Other
+ * replicas query the leader, with one query for all pending reads, and then wait until they have
+ * applied all entries that were committed by then.
  */
 final class ReadConfirmations {
-    /** A question that isn't answered by then has no answer: callers wait for a second. */
+    /** Reads that are not confirmed by then fail; callers wait for one second. */
     static final long TIMEOUT_MILLIS = 800;
 
     private final ReplicaGroup mGroup;
@@ -55,7 +56,10 @@
         mClock = clock;
     }
 
-    /** Asks; {@code done} hears whether it is confirmed, within {@link #TIMEOUT_MILLIS}. */
+    /**
+     * Requests a confirmation; {@code callback} receives the outcome within {@link
+     * #TIMEOUT_MILLIS}.
+     */
     void confirm(Consumer<Boolean> callback) {
         PendingRead read = new PendingRead(mClock.getAsLong(), callback);
         if (mGroup.leads()) {
@@ -66,7 +70,7 @@
         advance();
     }
 
-    /** Takes another replica's question. */
+    /** Handles another replica's query. */
     void onConfirm(String from, Confirm request) {
         if (!mGroup.leads()) {
             reply(from, request.getNumber(), false);
@@ -78,7 +82,7 @@
         advance();
     }
 
-    /** Takes the leader's answer. */
+    /** Handles the leader's response. */
     void onConfirmed(Confirmed answer) {
         LeaderQuery query = mSentToLeader.remove(answer.getNumber());
         if (query == null) {
@@ -95,7 +99,7 @@
         advance();
     }
 
-    /** Answers what can be answered; call it after each message and often. */
+    /** Completes the reads that can be completed; called after each message and periodically. */
     void advance() {
         long now = mClock.getAsLong();
         completeConfirmed();
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/ReplicaGroup.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/ReplicaGroup.java
@@ -27,8 +27,8 @@
 import org.quilldyke.manifest.FleetResult;
 
 /**
- * The replicas by their ids and addresses. A replica that lost its disk has a new id at its old
- * address, so messages bear both.
+ * The replicas of the group by id and address. A replica that lost its disk has a new id at its old
+ * address, so messages carry both.
  */
 final class ReplicaGroup {
     private final String mSelfId;
@@ -57,13 +57,12 @@
         return mNode.isLeader();
     }
 
-    /** Returns where the leader is reached, if it is known and is another. */
+    /** Returns the leader's address, if the leader is known and is another replica. */
     Optional<String> leaderAddress() {
         String leader = mNode.leader();
         return leader.isEmpty() || leader.equals(mSelfId) ? Optional.empty() : addressOf(leader);
     }
 
-    /** Sends a replica's message. */
     void send(String to, PeerMessage message) {
         addressOf(to)
                 .ifPresent(
@@ -74,7 +73,7 @@
                                                 .setReplica(Wire.encode(mSelfId, to, message))));
     }
 
-    /** Notes where a replica speaks from that may be no member yet. */
+    /** Records the address of a replica that may not be a member yet. */
     void learnAddress(String id, String address) {
         mLearnedAddresses.put(id, address);
     }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/ReplicaIdentity.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/ReplicaIdentity.java
@@ -30,19 +30,20 @@
 import org.quilldyke.gateway.settings.GatewaySettings;
 
 /**
- * Under which name a replica takes part, and with whom it began.
+ * A replica's id and its initial membership.
  *
- * <p>The name belongs to the disk. At the very first start the seeds are the voters and bear names
- * that all of them know; a replica that finds its disk empty later has a new name, knows no members
- * and asks to join, so that it can never vote twice for its lost self.
+ * <p>The id belongs to the disk. At the first start of a site the seeds are the voters, with ids
+ * that all of them know. A replica that finds its disk empty later gets a new id, knows no members
+ * and requests to join, so that it can never vote a second time under an id whose votes it has
+ * lost.
  *
- * @param id the name
- * @param initialMembership the membership before the log's first change of it
+ * @param id the id
+ * @param initialMembership the membership before the first membership change of the log
  */
 record ReplicaIdentity(String id, Membership initialMembership) {
     private static final int ID_SUFFIX_BYTES = 4;
 
-    /** Opens a replica's files; a disk that is damaged is cleared and taken for an empty one. */
+    /** Opens a replica's files; a damaged disk is cleared and treated as empty. */
     static Opened open(
             DataFolder folder,
             GatewaySettings settings,
@@ -88,7 +89,7 @@
     }
 
     private static Opened opened(ReplicaIdentity identity, DurableState durableState) {
-        // The name vouches for the disk: whoever bears it has lost nothing.
+        // The id is stored on the same disk, so a replica that still has it has lost no votes.
         Ballot ballot =
                 new Ballot(durableState.ballot().term(), durableState.ballot().votedFor(), true);
         return new Opened(
@@ -127,6 +128,6 @@
         return address + "/first";
     }
 
-    /** A replica's name and what its disk holds. */
+    /** A replica's identity and the Raft state on its disk. */
     record Opened(ReplicaIdentity identity, DurableState durableState) {}
 }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/TargetLog.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/TargetLog.java
@@ -25,7 +25,7 @@
 import org.quilldyke.engine.Suspension;
 import org.quilldyke.engine.TargetReport;
 
-/** A control process's log lines about targets. */
+/** Writes the log events about targets. */
 final class TargetLog {
     private static final String TARGET = "target";
     private static final String BECAME = "became";
@@ -36,7 +36,7 @@
         mLog = log;
     }
 
-    /** A target says something new, or is heard for the first time. */
+    /** A report was received that is the target's first or changes it. */
     void onChange(boolean wasKnown, TargetReport report) {
         mLog.write(
                 wasKnown ? Event.TARGET_CHANGED : Event.TARGET_JOINED,
@@ -55,10 +55,11 @@
     }
 
     /**
-     * A target says that it is gone.
+     * A leave notice was received.
      *
-     * @param sentKey who, by its own word
-     * @param known the targets that are known after it
+     * @param sentKey the key in the notice
+     * @param outcome the effect of the notice
+     * @param known the targets that are known afterwards
      */
     void onLeave(String sentKey, LeaveOutcome outcome, List<TargetReport> known) {
         String result = outcome.result().name().toLowerCase(Locale.ROOT);
@@ -67,12 +68,12 @@
         onLeave(sentKey, outcome.target(), result, coversSuccessor, known);
     }
 
-    /** A target said that it leaves, before it said that it is ready. */
+    /** A report that the target is leaving arrived after a newer one that it is ready. */
     void onOutdatedLeave(String id, List<TargetReport> known) {
         onLeave(id, id, "ignored", false, known);
     }
 
-    /** A target that had said that it leaves has left. */
+    /** A target that had reported to be leaving has departed. */
     void onDeparture(Departure departure) {
         mLog.write(
                 Event.TARGET_LEAVES,
@@ -84,17 +85,17 @@
                 departure.lastSequence());
     }
 
-    /** A later incarnation has taken a target's place. */
+    /** A later incarnation has superseded a target. */
     void onSuperseded(String id) {
         mLog.write(Event.TARGET_CHANGED, TARGET, id, "ended", true);
     }
 
-    /** Another target has taken a target's address. */
+    /** Another target reported the same address. */
     void onDisplaced(String id) {
         mLog.write(Event.TARGET_CHANGED, TARGET, id, "displaced", true);
     }
 
-    /** A target was silent for too long. */
+    /** A target has not reported within the lapse period. */
     void onLapsed(TargetReport report, long afterMillis) {
         mLog.write(
                 Event.TARGET_LAPSED,
@@ -106,7 +107,7 @@
                 report.leaving());
     }
 
-    /** A target that was remembered over a restart has not reported itself. */
+    /** A target restored from disk has not reported since the restart. */
     void onRestoredExpired(String id) {
         mLog.write(Event.TARGET_LAPSED, TARGET, id, "remembered", true);
     }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/TargetReplication.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/TargetReplication.java
@@ -39,33 +39,37 @@
 import org.quilldyke.gateway.instance.proto.Targets;
 
 /**
- * The targets that report themselves to any control process, known at all of them and at all
- * entries: news at once, signs of life now and then.
+ * Replicates the targets that report to any control process to all control processes and entries:
+ * changes immediately, liveness reports periodically.
  *
- * <p>After a restart entries are told what the process remembers: targets report themselves every
- * second or so, and until then requests would meet few of them, or none. A target that has ended
- * meanwhile, or whose address another one has, takes no request that names it.
+ * <p>After a restart entries receive the targets restored from disk: targets report about once a
+ * second, and until then entries would know few or none of them. Requests name the target they are
+ * meant for, so one that has stopped meanwhile, or whose address another target uses, executes none
+ * of them.
  */
 final class TargetReplication {
-    /** How often the signs of life that came here are told to other control processes. */
+    /** Interval at which liveness reports are forwarded to other control processes. */
     static final long LIVENESS_REPORT_MILLIS = 800;
 
-    /** How often all targets are told anew: one that lapsed somewhere by mistake is known again. */
+    /**
+     * Interval at which all targets are sent again, so that a target that lapsed somewhere by
+     * mistake is restored.
+     */
     static final long REFRESH_MILLIS = 5000;
 
-    /** A target lapses after this many of its reports have not come, by a margin for late ones. */
+    /** A target lapses after this many report intervals, which leaves a margin for late reports. */
     private static final double LAPSE_REPORT_INTERVALS = 3.5;
 
-    /** Signs of life come from others this often at the least before a target lapses here. */
+    /** At least this many liveness reports of peers are due before a target lapses here. */
     private static final long LAPSE_LIVENESS_REPORTS = 3;
 
     /**
-     * A remembered target that hasn't reported itself within this many of its reports' intervals is
-     * forgotten: it had one chance to be heard, and half an interval for a late report.
+     * A restored target expires after this many of its report intervals: one report and half an
+     * interval for a late one.
      */
     private static final double RESTORED_EXPIRY_REPORT_INTERVALS = 1.5;
 
-    /** A start takes as long at the least until targets can report themselves. */
+    /** Processes need at least this long after a start before targets can report to them. */
     private static final long MIN_RESTORED_EXPIRY_MILLIS = 1500;
 
     private final TargetRegistry mRegistry = TargetRegistry.create();
@@ -116,22 +120,23 @@
     }
 
     /**
-     * Takes the services that there are; until it is called, targets of any service are taken that
-     * take no known target's place.
+     * Sets the known services. Until the first call, targets of any service are accepted that
+     * displace no known target of another service.
      */
     void onServices(Set<String> names) {
         mServices = Optional.of(Set.copyOf(names));
     }
 
     /**
-     * Takes a report that came here.
+     * Handles a report that was sent to this process.
      *
-     * @param report what the target says
-     * @param includesWeights whether it says which weights it holds, be it none
-     * @return whether it may be acknowledged: that a target leaves has to be known elsewhere, too
-     * @throws QuilldykeException {@link ResultCode#REPORT_SERVICE} if no service has its name; a
-     *     target that was known with it before goes on to live. {@link ResultCode#REPORT_INVALID}
-     *     if it says nothing of weights that the target is known to hold
+     * @param report the target's report
+     * @param includesWeights whether the report states which weights the target holds, even if none
+     * @return whether it may be acknowledged: a leaving target has to be known to other processes
+     *     first
+     * @throws QuilldykeException {@link ResultCode#REPORT_SERVICE} if no service has its name;
+     *     targets that were known with this service before are still accepted. {@link
+     *     ResultCode#REPORT_INVALID} if it omits the weights of a target that is known to hold some
      */
     CompletableFuture<Boolean> onReport(TargetReport report, boolean includesWeights)
             throws QuilldykeException {
@@ -162,7 +167,7 @@
         return report.leaving() ? broadcastLeave(report.key()) : AckedBroadcasts.COMPLETED;
     }
 
-    /** The reports of a target that is leaving come again and again. */
+    /** Broadcast once only, since a leaving target repeats its report. */
     private CompletableFuture<Boolean> broadcastLeave(String id) {
         Targets.Builder leaving = Targets.newBuilder();
         mRegistry
@@ -191,7 +196,8 @@
     }
 
     /**
-     * Takes the news that a target is gone, told here; without a birth, whoever has its id now.
+     * Handles a leave notice sent to this process. Without a start time it refers to the
+     * incarnation that has the id at present.
      *
      * @return whether it may be acknowledged
      */
@@ -219,8 +225,9 @@
     }
 
     /**
-     * Takes what another instance knows; news go on to the entries here. Those of targets that
-     * leave go on to all control processes: who told them may end before it has reached the others.
+     * Applies the targets of another instance, and forwards changes to the entries of this process.
+     * Leaves are also forwarded to all control processes, since the sender may stop before its
+     * message has reached the others.
      */
     void onTargets(Targets targets) {
         long now = mClock.getAsLong();
@@ -261,7 +268,10 @@
         };
     }
 
-    /** Returns a live target as it is known here, where it may be suspended; others as told. */
+    /**
+     * Returns the local state of a live target, which may be suspended here; other targets as
+     * received.
+     */
     private Target asKnownHere(Target received, long now) {
         return received.getStanding() != Target.Standing.LIVE
                 ? received
@@ -282,8 +292,9 @@
     }
 
     /**
-     * One that can't be taken costs the others nothing; nor does one of a service that isn't known
-     * here: who told it may not know the services either, or know a newer one.
+     * Applies a received report; an invalid one is rejected without effect on the others. So is one
+     * of an unknown service that conflicts with a known target: the sender may not know the
+     * services yet, or may know a newer manifest.
      */
     private boolean applyReport(Target target, long now) {
         try {
@@ -317,12 +328,12 @@
         }
     }
 
-    /** Returns all that is known, for entries. */
+    /** Returns all targets, for entries. */
     Targets snapshot() {
         return snapshot(report -> true);
     }
 
-    /** Returns what is known of targets that were heard, for other control processes. */
+    /** Returns the leaves, and the targets seen since the start, for other control processes. */
     Targets snapshotForPeers() {
         return snapshot(report -> !report.isRestored());
     }
@@ -338,21 +349,20 @@
         return targets.addAllTargets(TargetFrames.encodeLeaves(mRegistry, now)).build();
     }
 
-    /** Returns the last report of each target. */
     List<TargetReport> reports() {
         return mRegistry.reports();
     }
 
-    /** Notes weights that an engine is known to hold before it reports them. */
+    /** Records weights that an engine holds before it reports them. */
     void onWeights(String id, String model, long version) {
         mRegistry.onWeights(id, model, version);
     }
 
     /**
-     * Tells signs of life, and finds targets that were silent for too long.
+     * Sends liveness reports, and lapses targets that have not reported for too long.
      *
-     * @param hasRecentLeader whether this process hears the others: one that is cut off can't tell
-     *     a silent target from one that reports elsewhere
+     * @param hasRecentLeader whether this process is in contact with a leader; one that is cut off
+     *     can't distinguish an unresponsive target from one that reports to another process
      */
     void tick(boolean hasRecentLeader) {
         long now = mClock.getAsLong();
@@ -381,8 +391,8 @@
     }
 
     /**
-     * What is remembered of a target has no sequence, so that of one that is leaving the departure
-     * is stored besides.
+     * Saves targets and leaves. Saved targets have no sequence, so the departure of a leaving
+     * target is saved as well.
      */
     private boolean save(long now) {
         List<Target> leaves = new ArrayList<>(TargetFrames.encodeLeaves(mRegistry, now));
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/WarmStartData.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/WarmStartData.java
@@ -42,14 +42,14 @@
 import org.quilldyke.gateway.instance.proto.Targets;
 
 /**
- * What a control process knew before its restart, kept on its disk: targets, and what they cached.
- * Best effort: a write that is under way or fails holds up nothing.
+ * The targets, cache contents and crash evidence that a control process saves to disk, so that it
+ * is ready sooner after a restart. Best effort: pending and failed writes block nothing.
  *
- * <p>What is stored begins with its kind and the address of the process that stored it, so that
- * nothing is taken for what it isn't: files of another kind, or of another machine's folder.
+ * <p>Each file starts with its kind and the address of the process that saved it, so that files of
+ * another kind, or copied from another machine's folder, are ignored.
  *
- * <p>While all processes are down no request reaches an engine, so what caches kept just before is
- * what they keep after it.
+ * <p>Cache contents stay accurate while all processes are down, since no request reaches an engine
+ * meanwhile.
  */
 final class WarmStartData {
     private static final String TARGETS = "targets";
@@ -78,7 +78,7 @@
     }
 
     /**
-     * Returns a process's memory in a folder; its writes have a thread of their own.
+     * Opens a process's data; its writes run on a thread of their own.
      *
      * @param owner the process's address
      */
@@ -91,7 +91,7 @@
         return withQueue(DiskQueue.create(loop, log), folder, log, rejectedReports, owner);
     }
 
-    /** Returns a process's memory in a folder whose writes the given queue carries out. */
+    /** Opens a process's data; its writes run on the given queue. */
     static WarmStartData withQueue(
             DiskQueue diskQueue,
             DataFolder folder,
@@ -101,7 +101,7 @@
         return new WarmStartData(folder, diskQueue, log, rejectedReports, owner);
     }
 
-    /** Returns the targets that were stored last. */
+    /** Returns the saved targets, without those that are invalid. */
     List<TargetReport> targets() {
         Targets stored = load(TARGETS, Targets.parser(), Targets.getDefaultInstance());
         List<TargetReport> reports = new ArrayList<>();
@@ -115,39 +115,43 @@
         return reports;
     }
 
-    /** Returns what was stored last of targets that leave. */
+    /** Returns the saved leaves. */
     List<Target> leaves() {
         return load(LEAVES, Targets.parser(), Targets.getDefaultInstance()).getTargetsList();
     }
 
-    /** Returns what was stored of caches last. */
+    /** Returns the saved cache contents. */
     List<CacheNews> caches() {
         return load(CACHES, Caches.parser(), Caches.getDefaultInstance()).getCachesList();
     }
 
-    /** Returns what was stored last of requests that crash targets. */
+    /** Returns the saved evidence on requests that crash targets. */
     CrashNews crashes() {
         return load(CRASHES, CrashNews.parser(), CrashNews.getDefaultInstance());
     }
 
-    /** Stores targets; returns whether it is done, and not still busy with the write before. */
+    /**
+     * Saves targets.
+     *
+     * @return whether the write was submitted; false while the previous one is pending
+     */
     boolean saveTargets(List<TargetReport> reports) {
         List<Target> targets =
                 reports.stream().map(report -> TargetFrames.encode(report, 0)).toList();
         return save(TARGETS, Targets.newBuilder().addAllTargets(targets).build());
     }
 
-    /** Stores what is known of targets that leave; returns as {@link #saveTargets}. */
+    /** Saves leaves; returns as {@link #saveTargets}. */
     boolean saveLeaves(List<Target> leaves) {
         return save(LEAVES, Targets.newBuilder().addAllTargets(leaves).build());
     }
 
-    /** Stores what caches keep; returns as {@link #saveTargets}. */
+    /** Saves cache contents; returns as {@link #saveTargets}. */
     boolean saveCaches(List<CacheNews> contents) {
         return save(CACHES, Caches.newBuilder().addAllCaches(contents).build());
     }
 
-    /** Stores what is known of requests that crash targets; returns as {@link #saveTargets}. */
+    /** Saves evidence on requests that crash targets; returns as {@link #saveTargets}. */
     boolean saveCrashes(CrashNews crashes) {
         return save(CRASHES, crashes);
     }
@@ -166,7 +170,7 @@
         return true;
     }
 
-    /** Returns the form in which a process stores a message. */
+    /** Returns the contents of a file: a header with kind and owner, and the message. */
     static byte[] frame(String name, String owner, MessageLite content) {
         byte[] header = header(name, owner);
         byte[] message = content.toByteArray();
@@ -188,7 +192,7 @@
         return defaultValue;
     }
 
-    /** Returns where the message begins, or -1 if there is none of this kind and process. */
+    /** Returns the offset of the message, or -1 if the file is of another kind or process. */
     private int messageOffset(byte[] stored, byte[] header) {
         boolean matches =
                 stored.length >= header.length
@@ -197,7 +201,8 @@
             mRejectedReports.onRefused(
                     RefusalLog.Source.MEMORY,
                     "",
-                    QuilldykeException.notRun(ResultCode.REPORT_UNREADABLE, "another's memory"));
+                    QuilldykeException.notRun(
+                            ResultCode.REPORT_UNREADABLE, "file of another kind or process"));
         }
         return matches ? header.length : -1;
     }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/WeightsController.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/WeightsController.java
@@ -37,13 +37,13 @@
 import org.quilldyke.weights.OrderOutcome;
 
 /**
- * Brings engines to the weights that operators named, while this process leads.
+ * Orders engines to load the weight versions that operators named, while this process leads.
  *
- * <p>One process orders at a time: a new leader first takes a fencing number from the log and waits
- * until the orders of the last one can't be on their way any more.
+ * <p>Only one process gives orders at a time: a new leader first obtains a fencing number from the
+ * log, and waits until no order of its predecessor can still be in flight.
  */
 final class WeightsController {
-    /** Beyond the wait for the last holder: how far the clocks of two processes may drift. */
+    /** Added to the wait, since the clocks of two processes may drift apart. */
     private static final long CLOCK_DRIFT_MARGIN_MILLIS = 250;
 
     private final ReplicaGroup mGroup;
@@ -60,19 +60,19 @@
     private boolean mFencingNumberRequested;
     private boolean mHasOrderRight;
 
-    WeightsController(Dependencies parts) {
-        mGroup = parts.group();
-        mProposals = parts.proposals();
-        mTargets = parts.targets();
-        mEngineClient = parts.engineClient();
-        mLoop = parts.loop();
-        mClock = parts.clock();
-        mLog = parts.log();
-        mPublishLoading = parts.publishLoading();
-        mOrderLeaseMillis = parts.orderLeaseMillis();
+    WeightsController(Dependencies dependencies) {
+        mGroup = dependencies.group();
+        mProposals = dependencies.proposals();
+        mTargets = dependencies.targets();
+        mEngineClient = dependencies.engineClient();
+        mLoop = dependencies.loop();
+        mClock = dependencies.clock();
+        mLog = dependencies.log();
+        mPublishLoading = dependencies.publishLoading();
+        mOrderLeaseMillis = dependencies.orderLeaseMillis();
     }
 
-    /** Notes that this process leads, or leads no longer. */
+    /** Handles a change of leadership; pending work stops when this process no longer leads. */
     void onLeadership(boolean leads) {
         mFencingNumber = 0;
         mHasOrderRight = false;
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Does what is due to bring all engines to the given weights, but those that are silent. */
+    /** Performs the actions that are due to bring all responsive engines to the given versions. */
     void tick(Map<String, Long> wantedVersions, EngineFleet fleet) {
         if (wantedVersions.isEmpty() || !mayOrder()) {
             return;
@@ -170,7 +170,7 @@
             return;
         }
         if (status.isEmpty() || !mayOrder()) {
-            // Without the right to order just now, the answer is worth as much as none.
+            // A status can't be acted upon without the right to give orders.
             mPlanner.onStatusUnavailable(target, mClock.getAsLong()).forEach(this::perform);
         } else {
             mPlanner.onStatus(target, status.get(), mClock.getAsLong()).forEach(this::perform);
@@ -226,17 +226,17 @@
     }
 
     /**
-     * What the keeper works with.
+     * The parts that the controller uses.
      *
-     * @param group tells whether this process leads
-     * @param proposals has commands committed
+     * @param group provides the leadership status
+     * @param proposals proposes commands
      * @param targets the engines
-     * @param engineClient speaks to engines
+     * @param engineClient sends requests to engines
      * @param loop the control thread
      * @param clock monotonic milliseconds
-     * @param log where events go
-     * @param publishLoading tells all instances about an engine that loads
-     * @param orderLeaseMillis how long a new holder of the right to order waits
+     * @param log the event log
+     * @param publishLoading notifies all instances of an engine that loads weights
+     * @param orderLeaseMillis how long a new leader waits before it may give orders
      */
     record Dependencies(
             ReplicaGroup group,
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/package-info.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/package-info.java
@@ -13,5 +13,5 @@
  * See the License for the specific language governing permissions and
  * limitations under the License.
  */
-/** The control process: the replicated state, the targets' reports, and the right to order. */
+/** The control process: the replicated state, the targets' reports, and orders to engines. */
 package org.quilldyke.gateway.control;
