--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/CacheEventReaderTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/CacheEventReaderTest.java
@@ -77,7 +77,9 @@
         assertThat(mReader.onPollResult(noEvents(7, 100, 4))).isEmpty();
     }
 
-    /** Its parts may not be believed of the one that is read, nor those of this one any more. */
+    /**
+     * The blocks of the later incarnation must not be attributed to this one, whose own are lost.
+     */
     @Test
     void answerOfALaterIncarnationClearsTheBlocks() {
         mReader.onPollResult(events(7, 100, 4));
@@ -93,12 +95,12 @@
         assertThat(mReader.onPollResult(events(9, 100, 6))).isEmpty();
     }
 
-    private static Optional<CacheEvents> events(long born, long epoch, long next) {
+    private static Optional<CacheEvents> events(long startedAtMillis, long epoch, long next) {
         List<CacheEvents.Change> changes = List.of(new CacheEvents.Change(true, "s", BLOCK));
-        return Optional.of(new CacheEvents(epoch, next, false, 0, changes, born));
+        return Optional.of(new CacheEvents(epoch, next, false, 0, changes, startedAtMillis));
     }
 
-    private static Optional<CacheEvents> noEvents(long born, long epoch, long next) {
-        return Optional.of(new CacheEvents(epoch, next, false, 0, List.of(), born));
+    private static Optional<CacheEvents> noEvents(long startedAtMillis, long epoch, long next) {
+        return Optional.of(new CacheEvents(epoch, next, false, 0, List.of(), startedAtMillis));
     }
 }
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/CacheInventoryTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/CacheInventoryTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.quilldyke.gateway.instance.proto.CacheNews;
 
-/** An entry that started knew nothing of caches until they changed. */
+/** Guards against entries that know no cache contents after a start until these change. */
 class CacheInventoryTest {
     private final CacheInventory mInventory = new CacheInventory();
 
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/ControlNodeTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/ControlNodeTest.java
@@ -77,8 +77,8 @@
 import org.quilldyke.manifest.Manifest;
 
 /**
- * One control process whose peers are down, with hints of all kinds on its disk: what was
- * remembered for speed is told as such, and never taken for what was agreed.
+ * A control process whose peers are down, with warm-start files of all kinds on its disk: their
+ * contents are published as targets and caches, and never treated as committed state.
  */
 class ControlNodeTest {
     private static final String ADDRESS = "127.0.0.1:9";
@@ -118,14 +118,13 @@
     }
 
     /**
-     * An entry that comes back is told that nothing is open elsewhere, too.
+     * An entry whose main session returns is sent the loads of others, even if there are none.
      *
-     * <p>What users saw: an entry refused prompts for want of room at engines that nobody used. The
-     * order of events: it hears here what others have open; it hears mainly another control process
-     * for a moment, while the others' requests end; it is back and isn't told, since what it was
-     * told last was forgotten here and nothing is open. The evidence: a test of shutdowns was
-     * refused so by an idle engine, and an entry changes its main process twice in its first
-     * seconds.
+     * <p>Guards against entries that reject prompts for lack of capacity at idle engines: the entry
+     * receives others' loads, switches its main session to another control process while the
+     * others' requests end, and switches back. If the last loads sent are forgotten and no load is
+     * open, the entry is sent nothing and keeps the old loads. Entries change their main session
+     * twice in their first seconds.
      */
     @Test
     void returningEntryIsSentEmptyLoads() throws Exception {
@@ -145,7 +144,10 @@
         awaitLoads(frames, List.of());
     }
 
-    /** An emptied machine, or one whose folder outlived its log, may hold hints of a later time. */
+    /**
+     * A machine with an empty disk, or with a data folder newer than its log, may have newer
+     * warm-start files.
+     */
     @Test
     void cachedFilesWithoutALogCreateNoState() throws Exception {
         saveCachedFiles(CACHED_VERSION);
@@ -207,7 +209,7 @@
                     .targets()
                     .forEach(
                             report ->
-                                    assertWithMessage("remembered only")
+                                    assertWithMessage("marked as restored")
                                             .that(report.isRestored())
                                             .isTrue());
             warmStart.caches();
@@ -223,7 +225,10 @@
         assertCommittedState();
     }
 
-    /** Returns a hint that is whole, torn, flipped, or a file of what was agreed. */
+    /**
+     * Returns a file that is intact, truncated, has a flipped bit, or holds committed state
+     * instead.
+     */
     private static byte[] corrupted(byte[] original, byte[] other, Random random) {
         byte[] corrupted = original.clone();
         switch (random.nextInt(4)) {
@@ -231,14 +236,14 @@
             case 1 -> corrupted[random.nextInt(corrupted.length)] ^= 0x10;
             case 2 -> corrupted = other;
             default -> {
-                // As it was stored.
+                // Unchanged.
             }
         }
         return corrupted;
     }
 
     private void assertCommittedState() throws Exception {
-        // It is told to a new entry, and to all soon after a start: always the agreed one.
+        // Sent to new entries and, soon after a start, to all: always the committed state.
         assertThat(configurations()).isNotEmpty();
         for (ControlFrame frame : configurations()) {
             Configuration configuration = frame.getConfiguration();
@@ -316,7 +321,7 @@
         return opened.durableState();
     }
 
-    /** Starts the process, and an entry that listens to it. */
+    /** Starts the process and connects an entry. */
     private void start() throws Exception {
         mNode =
                 onLoop(
@@ -358,7 +363,7 @@
                 .build();
     }
 
-    /** Hands frames of an entry to the node, as its stream does. */
+    /** Passes frames of an entry to the node, as its stream does. */
     private void sendFrames(SessionServer.EntrySession entry, EntryFrame... frames)
             throws Exception {
         onLoop(
@@ -368,7 +373,7 @@
                 });
     }
 
-    /** Waits until an entry was told something of others' loads last. */
+    /** Waits until the last loads sent to an entry are the given ones. */
     private static void awaitLoads(RecordingStream entry, List<TargetLoad> loads) throws Exception {
         long deadline = now() + AWAIT_TIMEOUT_MILLIS;
         while (!entry.mOthersLoads.equals(Optional.of(loads)) && now() < deadline) {
@@ -422,16 +427,16 @@
 
         @Override
         public void onError(Throwable e) {
-            // The entry is told no more.
+            // Nothing to record.
         }
 
         @Override
         public void onCompleted() {
-            // As above.
+            // Nothing to record.
         }
     }
 
-    /** Manifests that no one can read, since none is looked at. */
+    /** Rejects all calls and manifests; these tests read none. */
     private static final class UnreadableDialect implements ControlDialect {
         @Override
         public ControlCall read(String method, String path, byte[] body) throws QuilldykeException {
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/CrashReplicationTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/CrashReplicationTest.java
@@ -42,7 +42,7 @@
 import org.quilldyke.gateway.instance.proto.PeerFrame;
 import org.quilldyke.gateway.instance.proto.SuspectRequest;
 
-/** What a control process makes of crashes that entries have seen, and tells of it. */
+/** Evaluation and replication of the crashes that entries report. */
 class CrashReplicationTest {
     private static final RequestFingerprint CRASHING = new RequestFingerprint(1, 1);
     private static final int REQUESTS_PER_CRASH = 32;
@@ -67,7 +67,7 @@
         mReplication =
                 new CrashReplication(
                         frame -> mToPeers.add(frame.build().getCrashes()),
-                        news -> mToEntries.addAll(news.getSuspectsList()),
+                        suspects -> mToEntries.addAll(suspects.getSuspectsList()),
                         () -> mNow,
                         mLog,
                         mWarmStart);
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/DiskLossRun.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/DiskLossRun.java
@@ -36,21 +36,21 @@
 import org.quilldyke.testkit.check.FakeNetwork;
 
 /**
- * A control group in virtual time that loses as many disks as it must bear, mostly while all others
- * lose power: just after an acknowledgement, just after a change was sent, while the membership
- * changes, while a snapshot is written, or at any time; several times in a row.
+ * A control group in virtual time that loses as many disks as it must tolerate, usually while all
+ * others lose power: after an acknowledgement, after a change was sent, during membership changes
+ * or snapshots, or at random times, several times in a row.
  *
- * <p>Checks that whatever was acknowledged is there after it, that no read gives less than was
- * acknowledged before it, that no two machines ever apply different entries, and that the group
- * works again and is complete again in time.
+ * <p>Checks that acknowledged changes survive, that reads return at least what was acknowledged
+ * before, that no two machines apply different entries, and that the group works and is complete
+ * again in time.
  */
 final class DiskLossRun {
     private static final int ROUNDS = 3;
-    private static final String CHUNK_SENT = "piece of a snapshot sent";
+    private static final String CHUNK_SENT = "snapshot chunk sent";
     private static final long START_TIMEOUT_MILLIS = 8000;
     private static final long LATE_START_MILLIS = 9000;
 
-    /** For so long a machine counts as lost after its start (sheets). */
+    /** Machines count as failed this long after a start: the longest specified catch-up time. */
     private static final long CATCH_UP_MILLIS = 6000;
 
     private static final long RECOVERY_TIMEOUT_MILLIS = 12_000;
@@ -77,7 +77,7 @@
         mRandom = new Random(seed);
         mReport = new CheckReport("losses", seed);
         mNetwork = new FakeNetwork(mRandom, mReport);
-        // The first number of neighbouring seeds hardly differs, so nothing is drawn from it.
+        // The first random number hardly differs between neighbouring seeds, so it is skipped.
         mRandom.nextInt();
         for (int i = 0; i < machines; i++) {
             boolean manySnapshots = profile == Profile.MANY_SNAPSHOTS;
@@ -89,12 +89,12 @@
     }
 
     /**
-     * Plays a group.
+     * Runs a group through several rounds of changes, losses and recovery.
      *
-     * @param machines how many have a disk
+     * @param machines the number of machines with a disk
      * @param toleratedLosses how many of them may lose it at once
-     * @param profile what is frequent
-     * @param seed draws everything
+     * @param profile which faults are frequent
+     * @param seed seeds all random choices
      */
     static CheckReport run(int machines, int toleratedLosses, Profile profile, long seed) {
         DiskLossRun run = new DiskLossRun(machines, toleratedLosses, profile, seed);
@@ -108,11 +108,12 @@
     }
 
     /**
-     * Plays a group that loses disks as soon as it has acknowledged anything, while it still grows.
+     * Runs a group that loses disks right after its first acknowledgement, while it is still
+     * growing.
      *
-     * @param machines how many have a disk
+     * @param machines the number of machines with a disk
      * @param toleratedLosses how many of them may lose it at once
-     * @param seed draws everything
+     * @param seed seeds all random choices
      */
     static CheckReport runEarlyLoss(int machines, int toleratedLosses, long seed) {
         DiskLossRun run = new DiskLossRun(machines, toleratedLosses, Profile.PLAIN, seed);
@@ -125,12 +126,12 @@
     }
 
     /**
-     * Plays a group to which as many machines come late as it must bear to lose, and that loses as
-     * many disks once these count as lost no longer.
+     * Runs a group in which as many machines as it must tolerate losing start late, and which loses
+     * as many disks once those count as failed no longer.
      *
-     * @param machines how many have a disk
+     * @param machines the number of machines with a disk
      * @param toleratedLosses how many of them may lose it at once
-     * @param seed draws everything
+     * @param seed seeds all random choices
      */
     static CheckReport runWithLateMachines(int machines, int toleratedLosses, long seed) {
         DiskLossRun run = new DiskLossRun(machines, toleratedLosses, Profile.PLAIN, seed);
@@ -169,7 +170,7 @@
             String known = mLeaderByTerm.putIfAbsent(term, machine.id());
             mReport.check(
                     known == null || known.equals(machine.id()),
-                    "one leader a term",
+                    "one leader per term",
                     term + ": " + known + " and " + machine.id());
         }
     }
@@ -178,7 +179,7 @@
         byte[] known = mCommandByIndex.putIfAbsent(index, command);
         mReport.check(
                 known == null || Arrays.equals(known, command),
-                "equal entries everywhere",
+                "all machines apply equal entries",
                 id + " " + index);
     }
 
@@ -251,7 +252,7 @@
         mMachines.forEach(SimulatedMachine::repairDisk);
     }
 
-    /** Has operators publish for a while, on a network with faults now and then. */
+    /** Publishes changes for a while, in some rounds with network faults. */
     private void publishWithFaults() {
         mFaultFree = mRandom.nextInt(3) == 0;
         mNetwork.setLoss(mFaultFree ? 0 : 20);
@@ -264,7 +265,7 @@
         }
     }
 
-    /** Waits for the moment of the loss, and loses. */
+    /** Runs up to the moment of the loss, and loses disks or power. */
     private void awaitMomentAndLose() {
         if (mProfile == Profile.PLAIN || mRandom.nextBoolean()) {
             awaitLossMoment();
@@ -296,7 +297,7 @@
         List<SimulatedMachine> order = new ArrayList<>(mMachines);
         Collections.shuffle(order, mRandom);
         if (mRandom.nextBoolean()) {
-            // The leader's disk is often the one that holds most.
+            // The leader's disk often holds the most.
             order.sort(Comparator.comparing(machine -> !machine.leads()));
         }
         List<SimulatedMachine> emptied = order.subList(0, mTolerated);
@@ -325,7 +326,7 @@
         }
     }
 
-    /** Has an operator send changes from the start on, until one is acknowledged. */
+    /** Publishes changes from the start on, until one is acknowledged. */
     private void awaitFirstAcknowledgement() {
         mNetwork.setLoss(mRandom.nextBoolean() ? 20 : 0);
         while (mAckedVersion < 0 && mNow < START_TIMEOUT_MILLIS && mReport.isGood()) {
@@ -334,11 +335,11 @@
                 publish();
             }
         }
-        mReport.check(mAckedVersion >= 0, "the first change is taken in time", "" + describe());
+        mReport.check(mAckedVersion >= 0, "the first change is accepted in time", "" + describe());
         mReport.count("first acknowledgement within " + (mNow / 500 + 1) * 500 + " ms");
     }
 
-    /** Loses disks, often those of voters, and mostly all others' power, within milliseconds. */
+    /** Loses disks, often of voters, and usually all others' power, within milliseconds. */
     private void loseDisksSoon() {
         advanceBy(mRandom.nextInt(mRandom.nextInt(3) == 0 ? 500 : 5));
         List<SimulatedMachine> order = new ArrayList<>(mMachines);
@@ -364,7 +365,7 @@
         advanceBy(mRandom.nextInt(4));
     }
 
-    /** Kills a machine while it stores what another one doesn't hear of, and has it go on. */
+    /** Kills and restarts a machine while it stores a change that paused ones do not receive. */
     private void afterRestart() {
         List<SimulatedMachine> others = new ArrayList<>(mMachines);
         others.removeIf(SimulatedMachine::leads);
@@ -383,7 +384,7 @@
         advanceBy(mRandom.nextInt(20));
     }
 
-    /** Has a machine be silent until it is replaced, and stops in the middle of that. */
+    /** Stops a machine until it is replaced, and returns in the middle of the replacement. */
     private void duringMembershipChange() {
         List<SimulatedMachine> up = new ArrayList<>(mMachines);
         Collections.shuffle(up, mRandom);
@@ -418,7 +419,7 @@
         advanceBy(mRandom.nextInt(10));
     }
 
-    /** Has a machine be away until its peers' logs begin with a snapshot, which is sent to it. */
+    /** Stops a machine until its peers have compacted their logs and send it a snapshot. */
     private void duringSnapshotTransfer() {
         List<SimulatedMachine> others = new ArrayList<>(mMachines);
         others.removeIf(SimulatedMachine::leads);
@@ -437,7 +438,7 @@
         advanceBy(mRandom.nextInt(30));
     }
 
-    /** Has as many disks refuse or hold up writes as the group must bear, and others store. */
+    /** Fills or stalls as many disks as may be lost, while the other machines store changes. */
     private void publishWithDiskFaults() {
         List<SimulatedMachine> order = new ArrayList<>(mMachines);
         Collections.shuffle(order, mRandom);
@@ -472,7 +473,7 @@
         machine.startAt(mNow + mRandom.nextInt(1000));
     }
 
-    /** Checks that all that was acknowledged is there in time, and the group complete again. */
+    /** Checks that acknowledged changes are present, and the group is complete, in time. */
     private void checkRecovery() {
         stopFaults();
         while (!mMachines.stream().allMatch(SimulatedMachine::isUp) && mReport.isGood()) {
@@ -495,13 +496,13 @@
             checkContent(machine.id(), state);
             mReport.check(
                     state.version() >= acked,
-                    "what was acknowledged is there",
+                    "acknowledged changes are present",
                     machine.id() + " " + state.version() + " of " + acked);
             weights.forEach(
                     (model, version) ->
                             mReport.check(
                                     state.weights().getOrDefault(model, 0L) >= version,
-                                    "named weights are there",
+                                    "named weights are present",
                                     machine.id() + " " + model));
         }
     }
@@ -556,7 +557,7 @@
         }
     }
 
-    /** Publishes a new version, and names weights now and then, at whoever leads. */
+    /** Publishes a new version at the current leaders, and sometimes names weights as well. */
     private long publish() {
         long version = ++mVersion;
         byte[] document = new byte[documentSize()];
@@ -586,14 +587,14 @@
         return machine.node().propose(FleetJson.encode(command));
     }
 
-    /** What a run has more of than others. */
+    /** The faults that are frequent in a run. */
     enum Profile {
         PLAIN,
 
-        /** Documents so large that logs are replaced by snapshots again and again. */
+        /** Documents so large that logs are compacted into snapshots repeatedly. */
         MANY_SNAPSHOTS,
 
-        /** Disks that are full, or hold up writes for seconds. */
+        /** Disks that are full, or delay writes for seconds. */
         FAULTY_DISKS
     }
 }
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/DiskLossRunTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/DiskLossRunTest.java
@@ -27,11 +27,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.quilldyke.testkit.check.CheckReport;
 
-/** What was acknowledged survives each loss of disks and power that a site may see. */
+/** Acknowledged changes survive any loss of disks and power that a site must tolerate. */
 class DiskLossRunTest {
     private static final int SEEDS = Integer.getInteger("quilldyke.loss.seeds", 100);
 
-    /** Their seeds take longer, so that there are fewer: some 25 s a kind on a busy machine. */
+    /**
+     * Seeds of these profiles take longer, some 25 s a profile on a busy machine, so fewer are run.
+     */
     private static final int SLOW_PROFILE_SEEDS = (SEEDS + 1) / 2;
 
     private static final int FIRST_SEED = Integer.getInteger("quilldyke.loss.first", 1);
@@ -40,14 +42,14 @@
             List.of(
                     "loss of disks alone",
                     "loss of disks and of power",
-                    "checked what was acknowledged is there");
+                    "checked acknowledged changes are present");
 
     @Test
     void groupOfFourSurvivesTheLossOfOneDisk() {
         run(4, 1, DiskLossRun.Profile.PLAIN);
     }
 
-    /** Where no leader came again, and where entries of a killed process were lost. */
+    /** Regressions: no leader was elected again, or entries of a killed process were lost. */
     @ParameterizedTest
     @ValueSource(ints = {687, 1381})
     void previouslyFailingSeedsPass(int seed) {
@@ -62,7 +64,7 @@
     @Test
     void groupSurvivesLossesDuringSnapshots() {
         List<String> expectedEvents =
-                List.of("piece of a snapshot sent", "snapshot installed", "fault end amid a write");
+                List.of("snapshot chunk sent", "snapshot installed", "fault killed during a write");
         assertThat(run(4, 1, DiskLossRun.Profile.MANY_SNAPSHOTS).keySet())
                 .containsAtLeastElementsIn(expectedEvents);
         assertThat(run(8, 2, DiskLossRun.Profile.MANY_SNAPSHOTS).keySet())
@@ -79,12 +81,14 @@
     }
 
     /**
-     * A manifest that was acknowledged within a second of the first start is gone after two disks
-     * are lost, or no manifest is taken ever again. A site that must bear two lost disks starts
-     * with three voters and grows to five; before, two disks that held a change were enough for its
-     * acknowledgement. If these were lost, it was gone; with any two of the three, no voter could
-     * be elected, for good, since a machine with a new disk is a new replica. Found by reasoning,
-     * then by this test: 70 of 100 seeds with five machines, none with four that bear one loss.
+     * Guards against the loss of a manifest acknowledged within a second of the first start, or a
+     * group that accepts no manifest any more, after two disks are lost.
+     *
+     * <p>A site that must tolerate two lost disks starts with three voters and grows to five. If
+     * two disks that hold a change suffice for its acknowledgement, losing both loses the change;
+     * and losing any two of the three leaves a group that can never elect a leader, since a machine
+     * with a new disk is a new replica. Without the fix 70 of 100 seeds fail with five machines,
+     * and none with four that tolerate one loss.
      */
     @Test
     void firstAcknowledgementSurvivesWhileTheGroupStillGrows() {
@@ -93,7 +97,7 @@
         assertThat(runEarlyLoss(8, 2).keySet()).containsAtLeastElementsIn(LOSSES);
     }
 
-    /** Two of five that don't come are the two that the others can do without. */
+    /** Of five machines that tolerate two losses, two start late: the other three must suffice. */
     @Test
     void groupWorksWithoutMachinesThatStartLate() {
         Map<String, Long> counts =
@@ -119,11 +123,11 @@
                         "loss of power alone",
                         "loss of disks and of power",
                         "kill of all, then loss of disks and of power",
-                        "fault loss of power at a start",
+                        "fault power loss during a start",
                         "membership proposed",
-                        "checked what was acknowledged is there",
-                        "checked named weights are there",
-                        "checked a read gives what was acknowledged before it");
+                        "checked acknowledged changes are present",
+                        "checked named weights are present",
+                        "checked a read returns what was acknowledged before it");
         return counts;
     }
 
@@ -137,7 +141,7 @@
             }
             report.counts().forEach((name, count) -> counts.merge(name, count, Long::sum));
         }
-        assertWithMessage("%s machines: %s of %s seeds broken", machines, failedSeeds.size(), seeds)
+        assertWithMessage("%s machines: %s of %s seeds failed", machines, failedSeeds.size(), seeds)
                 .that(failedSeeds)
                 .isEmpty();
         return counts;
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/EntryFrameRateTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/EntryFrameRateTest.java
@@ -48,27 +48,28 @@
 import org.quilldyke.gateway.instance.proto.TargetLoads;
 
 /**
- * What an entry is told by one control process in fleets of 10 to 1,000 instances, in simulated
- * time: it pays for each frame, so that their number may not grow with the fleet.
+ * The frames that one control process sends to an entry in fleets of 10 to 1,000 instances, in
+ * simulated time. Entries pay a cost for each frame, so the frame rate must not grow with the
+ * fleet.
  */
 class EntryFrameRateTest {
     private static final String SELF = "127.0.0.1:1";
     private static final long SIMULATED_MILLIS = 10_000;
     private static final long TICK_MILLIS = 50;
 
-    /** An engine with three prompts a second tells of its cache about so often. */
+    /** The cache update rate of an engine that serves three prompts a second. */
     private static final double CACHE_UPDATES_PER_ENGINE_SECOND = 5;
 
     private static final int BLOCKS_PER_UPDATE = 2;
 
-    /** Instances of a fleet for each control process, and engines for each instance. */
+    /** Instances per control process, and engines per instance. */
     private static final int INSTANCES_PER_CONTROL = 6;
 
     private static final double ENGINES_PER_INSTANCE = 0.56;
 
     /**
-     * The frames that an entry may be told a second on its main stream: news, loads, answers; and
-     * the whole tables of targets and of caches, once each.
+     * The maximum rate of frames on an entry's main session: cache updates, loads, answers, and the
+     * full tables of targets and caches once each.
      */
     private static final double MAX_FRAMES_PER_SECOND = 20 + 10 + 4 + 2 * 1000.0 / SIMULATED_MILLIS;
 
@@ -84,19 +85,23 @@
         mGroup.shutdownGracefully();
     }
 
-    /** Each engine's news went to each entry by itself: 10 frames a second at 10, 650 at 300. */
+    /**
+     * Without batches, each engine's update is a frame to each entry: 10 frames a second at 10
+     * instances, 650 at 300.
+     */
     @Test
     void frameRateDoesNotGrowWithTheFleet() throws Exception {
         for (int instances : List.of(10, 30, 100, 300, 1000)) {
             ReceivedFrames received = simulate(instances);
-            System.out.printf("told an entry a second, of %d instances: %s%n", instances, received);
+            System.out.printf(
+                    "sent per entry and second, of %d instances: %s%n", instances, received);
             assertWithMessage("frames of %s instances", instances)
                     .that(received.framesPerSecond())
                     .isAtMost(MAX_FRAMES_PER_SECOND);
         }
     }
 
-    /** What others have open was told every 0.8 s at 100 entries, and to them by way of two. */
+    /** Guards against stale loads: 0.8 s between loads at 100 entries, each sent over two hops. */
     @Test
     void loadsAreSentSeveralTimesASecondInLargeFleets() throws Exception {
         assertThat(simulate(100).framesPerSecondOf(ControlFrame.KindCase.LOADS)).isAtLeast(4);
@@ -167,7 +172,7 @@
         return updates;
     }
 
-    /** An entry whose main stream leads here, with two requests open at engines drawn anew. */
+    /** An entry whose main session is here, with two open requests at random engines. */
     private final class FakeEntry {
         private final ReceivedFrames mReceived = new ReceivedFrames();
         private final SessionServer.EntrySession mSession;
@@ -196,7 +201,7 @@
         }
     }
 
-    /** What one entry is told. */
+    /** Counts the frames that are sent to one entry. */
     private static final class ReceivedFrames implements StreamObserver<ControlFrame> {
         private final Map<ControlFrame.KindCase, Integer> mFrames =
                 new EnumMap<>(ControlFrame.KindCase.class);
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/EntryLoadsTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/EntryLoadsTest.java
@@ -22,7 +22,10 @@
 import org.quilldyke.gateway.instance.proto.Loads;
 import org.quilldyke.gateway.instance.proto.TargetLoad;
 
-/** What others have open was known half a second late, so that all chose the same engine. */
+/**
+ * Guards against entries that all choose the same engine since others' loads arrive half a second
+ * late.
+ */
 final class EntryLoadsTest {
     private final EntryLoads mLoads = new EntryLoads();
 
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/FleetJsonTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/FleetJsonTest.java
@@ -29,7 +29,9 @@
 import org.quilldyke.manifest.FleetCommand;
 import org.quilldyke.manifest.FleetState;
 
-/** Logs of earlier versions are read: the texts here were written by the mapper of records. */
+/**
+ * Compatibility with logs of earlier versions, whose JSON was written by Jackson's record mapping.
+ */
 class FleetJsonTest {
     private static final String PUBLISH =
             "{\"type\":\"PublishManifest\",\"version\":7,\"document\":\"AQL/\"}";
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/LeaveReplicationTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/LeaveReplicationTest.java
@@ -27,11 +27,11 @@
 import org.quilldyke.gateway.instance.proto.Target;
 import org.quilldyke.gateway.instance.proto.Targets;
 
-/** What a control process makes of the word that a target leaves, and tells others of it. */
+/** Handling and replication of targets' leave notices. */
 class LeaveReplicationTest extends TargetReplicationFixture {
     private static final double LEAVES_PER_SECOND = 4700 / 600.0;
 
-    /** What an instance may spend for control in all. */
+    /** The limit for an instance's control traffic in total. */
     private static final double MAX_CONTROL_BYTES_PER_SECOND = 9000;
 
     @Test
@@ -47,11 +47,9 @@
     }
 
     /**
-     * A process that had started anew took a target that had left for a ready one.
-     *
-     * <p>What users saw: requests reached a target after its leave was acknowledged. The order of
-     * events: it leaves; all processes end and start anew; a report that it made before comes late.
-     * The cause: who has left was known in memory only. The evidence: see LeavingTargetTest.
+     * Guards against requests to a target after its leave was acknowledged: the target leaves, all
+     * control processes restart, and an earlier report of the target arrives late. A process that
+     * keeps departures in memory only would treat the target as ready. See also LeavingTargetTest.
      */
     @Test
     void departuresSurviveARestart() throws Exception {
@@ -76,7 +74,7 @@
                 .containsExactly(report("b", "s", "1.1.1.2:1", 10));
     }
 
-    /** Entries hand on what they were told, also to a process that has lost its memory. */
+    /** Entries forward the departures they know, also to a process that has lost its saved data. */
     @Test
     void departureKnownToAnEntryIsApplied() throws Exception {
         mReplication.onTargets(
@@ -109,14 +107,14 @@
     }
 
     /**
-     * A process that knows no target of an id acknowledged its leave, and nothing changed anywhere.
+     * Guards against requests to a target after its leave was acknowledged, when a control process
+     * that has just started receives the leave notice before it knows the target.
      *
-     * <p>What users saw: requests reached a target after its leave was acknowledged. The order of
-     * events: a control process has just started; a target leaves there without telling its birth;
-     * then others tell the process of the target. The cause: the others were told that the plain id
-     * is gone, which ends no incarnation, and the process itself took the target as ready. The
-     * evidence: QD3009 {@code target=a taken_for=a became=unknown} with no incarnation ready, and
-     * the incarnation that was told 10 ms later was.
+     * <p>The notice has no start time, so the process can't name an incarnation. Reporting the
+     * plain id as gone would end no incarnation at its peers, and the process itself would treat
+     * the target as ready once a peer reports it. In the log this is QD3009 with {@code target=a
+     * taken_for=a became=unknown} and no ready incarnation, followed within 10 ms by a report of
+     * the incarnation as ready.
      */
     @Test
     void leaveAppliesToATargetReportedLater() throws Exception {
@@ -159,12 +157,9 @@
     }
 
     /**
-     * A process that ended right after it had acknowledged a leave took the word along.
-     *
-     * <p>What users saw: requests reached a target after its leave was acknowledged. The order of
-     * events: a control process takes a leave, acknowledges it, and ends before the others have
-     * heard of it. The cause: the acknowledgement waited for nobody. The evidence: a process whose
-     * peers had all ended acknowledged a leave, see LeavingTargetTest.
+     * Guards against requests to a target after its leave was acknowledged: a control process
+     * acknowledges a leave and stops before its peers have received it. See also LeavingTargetTest,
+     * where a process without reachable peers receives a leave.
      */
     @Test
     void leaveIsAcknowledgedOnceEnoughPeersHaveStoredIt() throws Exception {
@@ -212,7 +207,7 @@
         assertThat(mReplication.onReport(report(5, true), true).isDone()).isFalse();
     }
 
-    /** Whoever told it may end before it has told the others. */
+    /** The sender may stop before it has notified the other processes. */
     @Test
     void leaveFromAPeerIsForwardedOnce() throws Exception {
         mReplication.onReport(report("b", "s", "1.1.1.2:1", 3), true);
@@ -235,8 +230,8 @@
     }
 
     /**
-     * Of eight control processes each hears of a leave once from the one that took it, and once
-     * from each other; 4,700 targets that are all replaced within 10 minutes make 8 leaves a
+     * With eight control processes, each receives a leave once from the process that handled it,
+     * and once from each of the others. Replacing 4,700 targets within 10 minutes makes 8 leaves a
      * second.
      */
     @Test
@@ -261,12 +256,15 @@
                         .getSerializedSize();
         double receivedBytesPerSecond = LEAVES_PER_SECOND * (7 * frameBytes + answerBytes);
         System.out.printf(
-                "a leave: frame %d B, answer %d B; heard by a process of eight: %.0f B/s%n",
+                "a leave: frame %d B, answer %d B; received by each of eight processes: %.0f B/s%n",
                 frameBytes, answerBytes, receivedBytesPerSecond);
         assertThat(receivedBytesPerSecond).isLessThan(MAX_CONTROL_BYTES_PER_SECOND);
     }
 
-    /** Two processes that told each other kept a departure for good. */
+    /**
+     * Guards against departures that two processes report to each other, and thereby keep
+     * permanently.
+     */
     @Test
     void departureIsSentWithItsAge() throws Exception {
         mReplication.onReport(report("a#7", 5), true);
@@ -285,7 +283,7 @@
         assertThat(mReplication.snapshotForPeers().getTargetsList()).isEmpty();
     }
 
-    /** The other way round: the process that is told of the leave knows the target. */
+    /** The reverse case: the process that receives the leave from a peer knows the target. */
     @Test
     void leaveThatAPeerCouldNotMatchAppliesHere() throws Exception {
         mReplication.onReport(report("a#7", 5), true);
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/SimulatedControlLoop.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/SimulatedControlLoop.java
@@ -19,7 +19,7 @@
 import java.util.function.LongSupplier;
 import org.quilldyke.daemon.control.ControlLoop;
 
-/** The control thread of one process in virtual time. */
+/** A process's control thread in virtual time. */
 final class SimulatedControlLoop implements ControlLoop {
     private final PriorityQueue<Task> mTasks = new PriorityQueue<>();
     private final LongSupplier mNow;
@@ -39,7 +39,7 @@
         mTasks.add(new Task(mNow.getAsLong() + millis, mCount++, task));
     }
 
-    /** Runs what is due. */
+    /** Runs all tasks that are due. */
     void runDue() {
         while (!mTasks.isEmpty() && mTasks.peek().at() <= mNow.getAsLong()) {
             mTasks.remove().task().run();
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/SimulatedDiskThread.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/SimulatedDiskThread.java
@@ -25,13 +25,13 @@
 import org.quilldyke.testkit.disk.PowerLossDisk;
 import org.quilldyke.testkit.disk.PowerLostException;
 
-/** The disk's thread of one process in virtual time: each write takes some milliseconds. */
+/** A process's disk thread in virtual time: each write takes some milliseconds. */
 final class SimulatedDiskThread extends AbstractExecutorService {
     private static final int MAX_FAST_WRITE_MILLIS = 8;
     private static final int MAX_SLOW_WRITE_MILLIS = 300;
     private static final int WRITES_PER_SLOW_WRITE = 40;
 
-    /** More operations than the longest write takes. */
+    /** More than the disk operations of the longest write. */
     private static final int MAX_OPERATIONS = 24;
 
     private final Deque<Runnable> mWrites = new ArrayDeque<>();
@@ -52,7 +52,7 @@
         mWrites.add(write);
     }
 
-    /** Carries out the write that is due, if one is. */
+    /** Executes the next write if it is due. */
     void runDue(long now) {
         if (mWrites.isEmpty() || now < mStalledUntil) {
             return;
@@ -67,12 +67,15 @@
         }
     }
 
-    /** Has no write go on before the given time. */
+    /** Delays writes until the given time. */
     void stallUntil(long until) {
         mStalledUntil = until;
     }
 
-    /** Gets as far with its writes as an end of the process at any operation allows. */
+    /**
+     * Executes a random part of the pending writes, as when the process ends during any disk
+     * operation.
+     */
     void abort() {
         mDisk.failAfter(mRandom.nextInt(MAX_OPERATIONS));
         try {
@@ -80,7 +83,7 @@
                 mWrites.remove().run();
             }
         } catch (PowerLostException e) {
-            mReport.count("fault end amid a write");
+            mReport.count("fault killed during a write");
         }
         mWrites.clear();
         mDisk.failAfter(Long.MAX_VALUE);
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/SimulatedMachine.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/SimulatedMachine.java
@@ -40,7 +40,7 @@
 import org.quilldyke.testkit.disk.PowerLostException;
 
 /**
- * A machine of a {@link DiskLossRun}: the real replica with its files on a disk that loses power.
+ * A machine of a {@link DiskLossRun}: a real replica whose files are on a disk that may lose power.
  */
 final class SimulatedMachine implements ReplicatedMachine<FleetResult> {
     private static final int PORT = 7340;
@@ -49,10 +49,10 @@
     private static final int JOIN_INTERVAL_MILLIS = 500;
     private static final int READ_TIMEOUT_MILLIS = 900;
 
-    /** As large as the replica's files usually grow. */
+    /** The snapshot threshold in production. */
     private static final long SNAPSHOT_THRESHOLD_BYTES = 4 << 20;
 
-    /** A snapshot every few changes, each in several pieces. */
+    /** Causes a snapshot every few changes, each sent in several chunks. */
     private static final long SMALL_SNAPSHOT_THRESHOLD_BYTES = 48 << 10;
 
     private static final int SMALL_MESSAGE_BYTES = 8 << 10;
@@ -116,7 +116,7 @@
         return isUp() && mNode.isLeader();
     }
 
-    /** Returns whether this machine votes, as far as it knows. */
+    /** Returns whether this machine is a voter according to its own membership. */
     boolean votes() {
         return isUp() && mNode.replica().membership().isVoter(mId);
     }
@@ -145,30 +145,30 @@
         mPausedUntil = until;
     }
 
-    /** Has the disk take so many bytes more, and no write after them. */
+    /** Limits the disk to the given number of further bytes; writes beyond that fail. */
     void limitDiskSpace(long bytes) {
         mDisk.fillUpAfter(bytes);
     }
 
-    /** Has no write of the present process go on before the given time. */
+    /** Delays the writes of the current process until the given time. */
     void stallDiskUntil(long until) {
         if (isUp()) {
             mDiskThread.stallUntil(until);
         }
     }
 
-    /** Has the disk work again. */
+    /** Ends all disk faults. */
     void repairDisk() {
         mDisk.makeRoom();
         stallDiskUntil(0);
     }
 
-    /** Takes the wish of a replica to be a member. */
+    /** Handles another replica's request to join. */
     void onJoin(Membership.Member joiner) {
         mPlanner.onJoinRequest(joiner);
     }
 
-    /** Lets a millisecond pass. */
+    /** Advances by one millisecond. */
     void advance() {
         if (!isUp() && mStartAt <= mRun.now()) {
             start();
@@ -180,14 +180,14 @@
         }
     }
 
-    /** Asks for the newest manifest. */
+    /** Starts a linearizable read of the newest manifest. */
     void read(long ackedVersion) {
         if (isRunning() && mNode.isLeader()) {
             mReads.add(new Read(clock(), ackedVersion));
         }
     }
 
-    /** Ends the process at any operation of its disk; its files stay as they are. */
+    /** Kills the process, possibly in the middle of a disk write; its files stay as they are. */
     void kill() {
         if (!isUp()) {
             return;
@@ -199,13 +199,13 @@
         mFirstStart = false;
     }
 
-    /** Takes the power away at any operation of the disk. */
+    /** Cuts the power, possibly in the middle of a disk write. */
     void losePower() {
         kill();
         mDisk.losePower(mRandom);
     }
 
-    /** Takes the power and the disk away; the next start finds an empty folder. */
+    /** Cuts the power and erases the disk; the next start finds an empty folder. */
     void loseDisk() {
         kill();
         mDisk.wipe();
@@ -237,7 +237,7 @@
         try {
             open();
         } catch (PowerLostException e) {
-            mReport.count("fault loss of power at a start");
+            mReport.count("fault power loss during a start");
             mDisk.losePower(mRandom);
             mNode = null;
             mStartAt = mRun.now() + mRandom.nextInt(300);
@@ -247,14 +247,14 @@
         mDisk.failAfter(Long.MAX_VALUE);
     }
 
-    /** Tries again later if the disk is full; it is the only reason for a start to fail. */
+    /** Retries the start later; a full disk is the only valid reason for a start to fail. */
     private void onStartFailure(QuilldykeException e) {
         mNode = null;
         mStartAt = mRun.now() + mRandom.nextInt(300);
         if (mDisk.isFillingUp() && e.code() == ResultCode.DISK_FAILED) {
-            mReport.count("fault a start on a full disk");
+            mReport.count("fault start on a full disk");
         } else {
-            mReport.violation("a start fails: " + mAddress + " " + e);
+            mReport.violation("start failed: " + mAddress + " " + e);
         }
     }
 
@@ -322,7 +322,7 @@
                 null);
     }
 
-    /** Does what {@link MembershipManager} does. */
+    /** Performs the duties of {@link MembershipManager}. */
     private void checkMembership() {
         mLoop.schedule(MEMBERSHIP_CHECK_MILLIS, this::checkMembership);
         if (mNode.isLeader()) {
@@ -345,7 +345,7 @@
                 mRun.checkContent(mId, state());
                 mReport.check(
                         state().version() >= read.ackedVersion(),
-                        "a read gives what was acknowledged before it",
+                        "a read returns what was acknowledged before it",
                         mId + " " + state().version() + " of " + read.ackedVersion());
             } else if (read.receivedAt() < clock() - READ_TIMEOUT_MILLIS) {
                 mReads.remove(read);
@@ -355,8 +355,7 @@
 
     private void checkEvents() {
         mReport.check(mLog.count(Event.INVARIANT) == 0, "invariants hold", mId);
-        mReport.check(
-                mLog.count(Event.DISK_CLEARED) == 0, "no disk is taken for a damaged one", mId);
+        mReport.check(mLog.count(Event.DISK_CLEARED) == 0, "no disk is treated as damaged", mId);
     }
 
     private long clock() {
@@ -364,9 +363,9 @@
     }
 
     /**
-     * A question for the newest manifest.
+     * A read of the newest manifest.
      *
-     * @param receivedAt when it came, of this machine's clock
+     * @param receivedAt when it was received, by this machine's clock
      * @param ackedVersion the newest version that was acknowledged by then
      */
     private record Read(long receivedAt, long ackedVersion) {}
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/TargetReplicationFixture.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/TargetReplicationFixture.java
@@ -35,7 +35,10 @@
 import org.quilldyke.gateway.instance.proto.Target;
 import org.quilldyke.gateway.instance.proto.Targets;
 
-/** A control process's targets without sockets: what it tells entries and others, and its disk. */
+/**
+ * A control process's target replication without sockets: records what it sends to entries and
+ * peers, and saves to a temporary folder.
+ */
 abstract class TargetReplicationFixture {
     static final long SAVE_TIMEOUT_NANOS = 5_000_000_000L;
     static final int REQUIRED_ACKS = 2;
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/TargetReplicationTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/TargetReplicationTest.java
@@ -31,7 +31,7 @@
 import org.quilldyke.gateway.instance.proto.Targets;
 
 class TargetReplicationTest extends TargetReplicationFixture {
-    /** An entry that had lapsed an engine by mistake once never heard of it again. */
+    /** Guards against entries that never learn again of a target that they lapsed by mistake. */
     @Test
     void liveTargetsAreRefreshed() throws Exception {
         mReplication.onReport(report(1, false), true);
@@ -82,7 +82,10 @@
         assertThat(mSentToEntries.get(1).getStanding()).isEqualTo(Target.Standing.GONE);
     }
 
-    /** Until engines reported themselves again, up to 1.2 s, entries knew some of them or none. */
+    /**
+     * Guards against entries without targets after a restart: targets take up to 1.2 s to report
+     * again.
+     */
     @Test
     void restoredTargetsAreSentToEntriesImmediately() throws Exception {
         restartWithSaved(report(7, false));
@@ -117,7 +120,7 @@
         assertThat(mReplication.snapshot().getTargetsList()).isEmpty();
     }
 
-    /** A report of another service ended the target that had its address. */
+    /** A report of an unknown service must not displace the target at the same address. */
     @Test
     void reportOfAnUnknownServiceIsRejected() throws Exception {
         mReplication.onServices(Set.of("s"));
@@ -137,7 +140,7 @@
         assertThat(mSentToEntries).isEmpty();
     }
 
-    /** Its requests end well while it is leaving, though its service is no more. */
+    /** The running requests of a leaving target complete although its service was removed. */
     @Test
     void targetOfARemovedServiceMayStillReport() throws Exception {
         mReplication.onServices(Set.of("s"));
@@ -149,7 +152,7 @@
         assertThat(mReplication.reports().get(0).leaving()).isTrue();
     }
 
-    /** Targets that run no models say nothing of them, and engines always do. */
+    /** Targets without models omit weights from their reports; engines always include them. */
     @Test
     void engineReportWithoutWeightsIsRejected() throws Exception {
         TargetReport engine = report(1, false).withWeights(Map.of("m", 3L));
@@ -170,15 +173,13 @@
     }
 
     /**
-     * Before the first manifest nobody knows which services there are.
+     * Guards against reports of an unknown service that displace a known target before this process
+     * has applied the first manifest, by its id with a higher sequence or by its address. As long
+     * as no services are known, only reports that displace no target of another service are
+     * accepted.
      *
-     * <p>What users saw: a machine that had just started took a report of a service that is in no
-     * manifest, under the id of an engine that serves. The order of events: the engine is known, by
-     * its own report or another instance's; the machine hasn't applied the manifest yet; the other
-     * writer's report comes with a higher sequence, or with the engine's address. The cause: as
-     * long as no services are known, all were taken, whatever they displaced. The evidence: the
-     * test of other writers met 200 instead of 400 at a control process that another one had
-     * outrun.
+     * <p>A control process that had not caught up with another one answered such reports with 200
+     * instead of 400.
      */
     @Test
     void withoutAManifestNoReportDisplacesAKnownTarget() throws Exception {
@@ -199,7 +200,7 @@
         assertThat(mReplication.reports()).containsExactly(report(2, true));
     }
 
-    /** An engine may start again, or another take its address, before there is a manifest. */
+    /** Before the first manifest an engine may restart, or another one take over its address. */
     @Test
     void withoutAManifestTargetsOfTheSameServiceReplaceEachOther() throws Exception {
         mReplication.onReport(report("a#5", 50), true);
@@ -222,7 +223,10 @@
         assertThat(mReplication.reports()).containsExactly(report("b", "other", "1.1.1.1:1", 1));
     }
 
-    /** An instance without a manifest hands on what it took; here the services are known. */
+    /**
+     * An instance without a manifest forwards reports that it accepted; here the services are
+     * known.
+     */
     @Test
     void peerReportOfAnUnknownServiceDisplacesNoTarget() throws Exception {
         mReplication.onServices(Set.of("s"));
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/WarmStartDataFuzzTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/WarmStartDataFuzzTest.java
@@ -43,8 +43,8 @@
 import org.quilldyke.testkit.disk.PowerLostException;
 
 /**
- * What a restart finds in its memory is what was stored there, by this process and as this kind, or
- * nothing; and it gives way to the first word of a later time.
+ * Data found after a restart is what this process saved last under this kind, or nothing; and later
+ * reports replace it.
  */
 class WarmStartDataFuzzTest {
     private static final int SEEDS = Integer.getInteger("quilldyke.memory.seeds", 300);
@@ -68,7 +68,7 @@
             try {
                 save(OWNER, after);
             } catch (PowerLostException e) {
-                // So far it got.
+                // Power was lost during the write.
             }
             mDisk.losePower(mRandom);
 
@@ -197,7 +197,7 @@
         }
     }
 
-    /** Returns a file that is torn, longer, or differs in some bytes. */
+    /** Returns a file that is truncated, extended, or has a flipped bit. */
     private byte[] corrupted(byte[] original) {
         byte[] corrupted = Arrays.copyOf(original, original.length);
         switch (mRandom.nextInt(3)) {
@@ -210,7 +210,7 @@
         return corrupted;
     }
 
-    /** What a process knows at a time. */
+    /** Random data to save. */
     private static final class Content {
         final List<TargetReport> mTargets = new ArrayList<>();
         final List<CacheNews> mCaches = new ArrayList<>();
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/WarmStartDataTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/WarmStartDataTest.java
@@ -34,7 +34,10 @@
 import org.quilldyke.gateway.instance.NettyLoop;
 import org.quilldyke.gateway.instance.proto.CacheNews;
 
-/** After a loss of all, prompts were read whole until the new leader had asked each engine. */
+/**
+ * Guards against full prefills after a restart of all processes: without saved cache contents,
+ * caches are unknown until the new leader has polled each engine.
+ */
 class WarmStartDataTest {
     private static final long SAVE_TIMEOUT_NANOS = 5_000_000_000L;
 
@@ -68,7 +71,7 @@
         assertThat(after.snapshot().get(0).getAddedList()).containsExactly(7L, 9L);
     }
 
-    /** The engine has started again while the process was down. */
+    /** The engine restarts while the control process is down. */
     @Test
     void cacheContentsOfAnEarlierIncarnationAreDiscarded() throws Exception {
         CacheInventory before = new CacheInventory();
@@ -96,9 +99,9 @@
     }
 
     /**
-     * A file of targets under the name of the caches told entries that a target's cache is down, or
-     * keeps parts: both begin with an id, and texts of eight or sixteen letters were taken for keys
-     * of parts. By test only.
+     * Without a kind in the header, a file of targets under the name of the caches could be parsed
+     * as cache contents: both messages begin with an id, and strings of eight or sixteen bytes
+     * could be read as block keys, or the target's cache as unreachable.
      */
     @Test
     void fileOfAnotherKindIsIgnored() throws Exception {
