--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CacheEventReader.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CacheEventReader.java
@@ -26,7 +26,8 @@
 import org.quilldyke.routing.CacheKeys;
 
 /**
- * Reads the cache events of one holder, and turns them into cache updates.
+ * Reads the cache events of one holder of cached blocks, an engine incarnation or a KV store, and
+ * turns them into cache updates.
  *
  * <p>Only responses of the holder's own incarnation are applied. Those of an earlier incarnation
  * are ignored; those of a later one show only that the cache of this one is lost.
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CacheInventory.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/CacheInventory.java
@@ -75,16 +75,16 @@
      *
      * @return whether it is the latest incarnation of its id
      */
-    boolean observeHolder(String id) {
-        Incarnation incarnation = Incarnation.ofKey(id);
+    boolean observeHolder(String key) {
+        Incarnation incarnation = Incarnation.ofKey(key);
         mLatestIncarnations.observe(incarnation).map(Incarnation::key).ifPresent(mHolders::remove);
         return !mLatestIncarnations.isSuperseded(incarnation);
     }
 
     /** Removes a holder that no longer exists, and its earlier incarnations. */
-    void remove(String id) {
-        observeHolder(id);
-        mHolders.remove(id);
+    void remove(String key) {
+        observeHolder(key);
+        mHolders.remove(key);
     }
 
     /** Returns the full contents, with one update for each holder. */
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/ControlNode.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/ControlNode.java
@@ -61,7 +61,7 @@
  * Confined to the control thread.
  */
 public final class ControlNode implements SessionServer.Handler, ReplicaNode.Listener {
-    /** Raft timing for replicas that are some milliseconds apart, on processors that may pause. */
+    /** Raft timing for latencies of some milliseconds, and for processors that may pause. */
     private static final long HEARTBEAT_MILLIS = 80;
 
     private static final long ELECTION_TIMEOUT_MILLIS = 450;
@@ -69,7 +69,7 @@
 
     private static final long TICK_MILLIS = 50;
 
-    /** An engine prefills one or two long prompts within this time. */
+    /** A restart loses the cache changes of this time: one or two long prompts of an engine. */
     private static final long CACHE_SAVE_INTERVAL_MILLIS = 300;
 
     /**
@@ -384,7 +384,7 @@
     public void onLeadership(boolean leads) {
         mWeights.onLeadership(leads);
         if (leads) {
-            // The leader sends only changes from here on.
+            // The full contents first, since the leader sends only changes from here on.
             mEntries.cacheContents().forEach(mCacheUpdates::add);
         }
     }
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/EntryLoads.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/EntryLoads.java
@@ -93,7 +93,7 @@
         return entries;
     }
 
-    /** Returns the number of entries at all control processes. */
+    /** Removes expired entries, and returns the number of entries at all control processes. */
     int entryCount(long now) {
         if (mEntrySeenAt.values().removeIf(at -> now - at > ENTRY_EXPIRY_MILLIS)) {
             mRanks = Map.of();
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/EntrySessions.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/EntrySessions.java
@@ -54,8 +54,11 @@
 import org.quilldyke.routing.TargetState;
 
 /**
- * The sessions of entry processes that are connected to this control process. They receive all
- * updates immediately, and a response to a query once the read is confirmed.
+ * The sessions of entry processes that are connected to this control process.
+ *
+ * <p>All sessions receive changes of the state, targets, suspects and limits immediately, and the
+ * answer to a question once the read is confirmed. Cache contents and loads are sent on an entry's
+ * main session only.
  */
 final class EntrySessions {
     /** Unchanged loads are repeated at this interval, so that they do not become stale. */
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/Proposals.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/Proposals.java
@@ -39,7 +39,7 @@
  * that a duplicate changes nothing.
  */
 final class Proposals {
-    /** Commands without a result by then fail; operators wait for a second or longer. */
+    /** Commands fail after this time without a result; operators wait for a second or longer. */
     static final long TIMEOUT_MILLIS = 900;
 
     private static final long RETRY_DELAY_MILLIS = 40;
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/ReadConfirmations.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/ReadConfirmations.java
@@ -34,10 +34,10 @@
  *
  * <p>The leader confirms a read once a majority has responded to it after the read arrived. Other
  * replicas query the leader, with one query for all pending reads, and then wait until they have
- * applied all entries that were committed by then.
+ * applied all log entries that were committed by then.
  */
 final class ReadConfirmations {
-    /** Reads that are not confirmed by then fail; callers wait for one second. */
+    /** Reads fail after this time without confirmation; callers wait for one second. */
     static final long TIMEOUT_MILLIS = 800;
 
     private final ReplicaGroup mGroup;
@@ -48,7 +48,9 @@
     private final Map<Long, LeaderQuery> mSentToLeader = new HashMap<>();
     private final List<AwaitingApply> mAwaitingApply = new ArrayList<>();
     private long mLastNumber;
-    private long mPendingNumber;
+
+    /** The number of the query that awaits the leader's response, or 0. */
+    private long mPendingQueryNumber;
 
     ReadConfirmations(ReplicaGroup group, Peers peers, LongSupplier clock) {
         mGroup = group;
@@ -88,7 +90,7 @@
         if (query == null) {
             return;
         }
-        mPendingNumber = 0;
+        mPendingQueryNumber = 0;
         for (PendingRead read : query.reads()) {
             if (answer.getLeads()) {
                 mAwaitingApply.add(new AwaitingApply(answer.getIndex(), read));
@@ -116,7 +118,7 @@
     }
 
     private void sendQueryToLeader(long now) {
-        if (mUnsent.isEmpty() || mPendingNumber != 0) {
+        if (mUnsent.isEmpty() || mPendingQueryNumber != 0) {
             return;
         }
         if (mGroup.leads()) {
@@ -126,7 +128,7 @@
         }
         Optional<String> leader = mGroup.leaderAddress();
         if (leader.isPresent()) {
-            mPendingNumber = ++mLastNumber;
+            mPendingQueryNumber = ++mLastNumber;
             mSentToLeader.put(mLastNumber, new LeaderQuery(now, List.copyOf(mUnsent)));
             mUnsent.clear();
             mPeers.send(
@@ -152,6 +154,7 @@
         List<PendingRead> expired =
                 removeMatching(mAwaitingMajority, read -> read.receivedAt() < limit);
         expired.addAll(removeMatching(mUnsent, read -> read.receivedAt() < limit));
+        // An unanswered query delays all later reads, so it fails after half the time.
         List<Long> unanswered = new ArrayList<>();
         mSentToLeader.forEach(
                 (number, query) -> {
@@ -162,7 +165,7 @@
                 });
         for (long number : unanswered) {
             mSentToLeader.remove(number);
-            mPendingNumber = mPendingNumber == number ? 0 : mPendingNumber;
+            mPendingQueryNumber = mPendingQueryNumber == number ? 0 : mPendingQueryNumber;
         }
         for (AwaitingApply awaiting : List.copyOf(mAwaitingApply)) {
             if (awaiting.read().receivedAt() < limit) {
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/ReplicaIdentity.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/ReplicaIdentity.java
@@ -32,10 +32,10 @@
 /**
  * A replica's id and its initial membership.
  *
- * <p>The id belongs to the disk. At the first start of a site the seeds are the voters, with ids
- * that all of them know. A replica that finds its disk empty later gets a new id, knows no members
- * and requests to join, so that it can never vote a second time under an id whose votes it has
- * lost.
+ * <p>The id belongs to the disk. At the first start of a deployment the seeds are the voters, with
+ * ids that all of them know. A replica that finds its disk empty later gets a new id, knows no
+ * members and requests to join, so that it can never vote a second time under an id whose votes it
+ * has lost.
  *
  * @param id the id
  * @param initialMembership the membership before the first membership change of the log
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/TargetReplication.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/TargetReplication.java
@@ -86,7 +86,7 @@
     private boolean mSaveNeeded;
     private long mLivenessSentAt;
     private long mRefreshedAt;
-    private long mConnectedSince;
+    private long mLeaderContactSince;
     private Optional<Set<String>> mServices = Optional.empty();
 
     TargetReplication(
@@ -109,19 +109,19 @@
                 Math.max(
                         Math.round(reportIntervalMillis * LAPSE_REPORT_INTERVALS),
                         LAPSE_LIVENESS_REPORTS * LIVENESS_REPORT_MILLIS);
-        mConnectedSince = clock.getAsLong();
-        mRefreshedAt = mConnectedSince;
+        mLeaderContactSince = clock.getAsLong();
+        mRefreshedAt = mLeaderContactSince;
         long restoredExpiryMillis =
                 Math.round(reportIntervalMillis * RESTORED_EXPIRY_REPORT_INTERVALS);
         mRestoredExpireAt =
-                mConnectedSince + Math.max(MIN_RESTORED_EXPIRY_MILLIS, restoredExpiryMillis);
-        warmStart.leaves().forEach(leave -> applyLeave(leave, mConnectedSince));
-        warmStart.targets().forEach(report -> mRegistry.onReport(report, mConnectedSince));
+                mLeaderContactSince + Math.max(MIN_RESTORED_EXPIRY_MILLIS, restoredExpiryMillis);
+        warmStart.leaves().forEach(leave -> applyLeave(leave, mLeaderContactSince));
+        warmStart.targets().forEach(report -> mRegistry.onReport(report, mLeaderContactSince));
     }
 
     /**
-     * Sets the known services. Until the first call, targets of any service are accepted that
-     * displace no known target of another service.
+     * Sets the known services. Until the first call, targets of any service are accepted unless
+     * they would displace a known target of another service.
      */
     void onServices(Set<String> names) {
         mServices = Optional.of(Set.copyOf(names));
@@ -167,7 +167,7 @@
         return report.leaving() ? broadcastLeave(report.key()) : AckedBroadcasts.COMPLETED;
     }
 
-    /** Broadcast once only, since a leaving target repeats its report. */
+    /** Broadcasts a target's leave once only, since a leaving target repeats its report. */
     private CompletableFuture<Boolean> broadcastLeave(String id) {
         Targets.Builder leaving = Targets.newBuilder();
         mRegistry
@@ -382,9 +382,9 @@
             mSaveNeeded = !save(now);
         }
         if (!hasRecentLeader) {
-            mConnectedSince = now;
+            mLeaderContactSince = now;
         }
-        if (now - mConnectedSince < mLapseMillis) {
+        if (now - mLeaderContactSince < mLapseMillis) {
             return;
         }
         lapse(now);
--- a/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/WeightsController.java
+++ b/quilldyke-gateway/src/main/java/org/quilldyke/gateway/control/WeightsController.java
@@ -58,7 +58,7 @@
     private LoadPlanner mPlanner = LoadPlanner.create();
     private long mFencingNumber;
     private boolean mFencingNumberRequested;
-    private boolean mHasOrderRight;
+    private boolean mOrderRightLogged;
 
     WeightsController(Dependencies dependencies) {
         mGroup = dependencies.group();
@@ -75,7 +75,7 @@
     /** Handles a change of leadership; pending work stops when this process no longer leads. */
     void onLeadership(boolean leads) {
         mFencingNumber = 0;
-        mHasOrderRight = false;
+        mOrderRightLogged = false;
         if (!leads) {
             mPlanner.stop().forEach(this::perform);
             mPlanner = LoadPlanner.create();
@@ -91,8 +91,8 @@
             requestFencingNumber();
             return;
         }
-        if (!mHasOrderRight) {
-            mHasOrderRight = true;
+        if (!mOrderRightLogged) {
+            mOrderRightLogged = true;
             mLog.write(Event.ORDER_RIGHT, "fence", mFencingNumber);
         }
         mPlanner.tick(fleet, wantedVersions, mClock.getAsLong()).forEach(this::perform);
