--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/ControlNodeTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/ControlNodeTest.java
@@ -87,7 +87,7 @@
     private static final String MODEL = "m";
     private static final long COMMITTED_VERSION = 2;
     private static final long COMMITTED_INDEX = 8;
-    private static final long CACHED_VERSION = 9;
+    private static final long WARM_START_VERSION = 9;
     private static final byte[] DOCUMENT = {4, 2};
     private static final long AWAIT_TIMEOUT_MILLIS = 5000;
     private static final Membership MEMBERS =
@@ -149,43 +149,43 @@
      * warm-start files.
      */
     @Test
-    void cachedFilesWithoutALogCreateNoState() throws Exception {
-        saveCachedFiles(CACHED_VERSION);
+    void warmStartFilesWithoutALogCreateNoState() throws Exception {
+        saveWarmStartFiles(WARM_START_VERSION);
 
         start();
 
         assertThat(configurations()).isEmpty();
-        assertThat(sentTargetVersions()).containsExactly(CACHED_VERSION);
+        assertThat(sentWeightsVersions()).containsExactly(WARM_START_VERSION);
         assertCode(mNode.readManifest(), ResultCode.READ_UNCONFIRMED);
-        assertCode(mNode.nameWeights(MODEL, CACHED_VERSION), ResultCode.NO_LEADER);
+        assertCode(mNode.nameWeights(MODEL, WARM_START_VERSION), ResultCode.NO_LEADER);
         assertThat(onLoop(() -> mNode.hasRecentLeader())).isFalse();
     }
 
     @Test
-    void newerCachedFilesDoNotChangeCommittedState() throws Exception {
+    void newerWarmStartFilesDoNotChangeCommittedState() throws Exception {
         saveCommittedState();
-        saveCachedFiles(CACHED_VERSION);
+        saveWarmStartFiles(WARM_START_VERSION);
 
         start();
 
         assertCommittedState();
-        assertThat(sentTargetVersions()).containsExactly(CACHED_VERSION);
+        assertThat(sentWeightsVersions()).containsExactly(WARM_START_VERSION);
         assertCode(mNode.nameWeights(MODEL, COMMITTED_VERSION + 1), ResultCode.NO_LEADER);
     }
 
     @Test
-    void olderCachedFilesDoNotChangeCommittedState() throws Exception {
+    void olderWarmStartFilesDoNotChangeCommittedState() throws Exception {
         saveCommittedState();
-        saveCachedFiles(COMMITTED_VERSION - 1);
+        saveWarmStartFiles(COMMITTED_VERSION - 1);
 
         start();
 
         assertCommittedState();
-        assertThat(sentTargetVersions()).containsExactly(COMMITTED_VERSION - 1);
+        assertThat(sentWeightsVersions()).containsExactly(COMMITTED_VERSION - 1);
     }
 
     @Test
-    void recoveredStateDoesNotDependOnCachedFiles() throws Exception {
+    void recoveredStateDoesNotDependOnWarmStartFiles() throws Exception {
         saveCommittedState();
         DurableState committed = open();
         Random random = new Random(7);
@@ -194,7 +194,7 @@
             sources.add(mFolder.resolve(name));
         }
         for (int i = 0; i < 60; i++) {
-            saveCachedFiles(random.nextInt(20));
+            saveWarmStartFiles(random.nextInt(20));
             for (String name : List.of(TARGETS_FILE, CACHES_FILE)) {
                 byte[] original = Files.readAllBytes(mFolder.resolve(name));
                 byte[] other = Files.readAllBytes(sources.get(random.nextInt(sources.size())));
@@ -259,18 +259,18 @@
         return mSentFrames.stream().filter(ControlFrame::hasConfiguration).toList();
     }
 
-    private List<Long> sentTargetVersions() throws QuilldykeException {
+    private List<Long> sentWeightsVersions() throws QuilldykeException {
         List<Target> live =
                 mSentFrames.stream()
                         .filter(ControlFrame::hasTargets)
                         .flatMap(frame -> frame.getTargets().getTargetsList().stream())
                         .filter(target -> target.getStanding() == Target.Standing.LIVE)
                         .toList();
-        Set<Long> weights = new LinkedHashSet<>();
+        Set<Long> versions = new LinkedHashSet<>();
         for (Target target : live) {
-            weights.add(TargetFrames.decode(target).weights().get(MODEL));
+            versions.add(TargetFrames.decode(target).weights().get(MODEL));
         }
-        return List.copyOf(weights);
+        return List.copyOf(versions);
     }
 
     private void saveCommittedState() throws Exception {
@@ -284,7 +284,8 @@
                         DOCUMENT,
                         COMMITTED_INDEX,
                         new TreeMap<>(Map.of(MODEL, COMMITTED_VERSION)));
-        byte[] uncommitted = FleetJson.encode(new FleetCommand.NameWeights(MODEL, CACHED_VERSION));
+        byte[] uncommitted =
+                FleetJson.encode(new FleetCommand.NameWeights(MODEL, WARM_START_VERSION));
         folder.saveSnapshot(
                 new Compaction(
                         8,
@@ -295,13 +296,22 @@
         folder.close();
     }
 
-    private void saveCachedFiles(long weights) throws Exception {
+    private void saveWarmStartFiles(long weightsVersion) throws Exception {
         TargetReport report =
                 new TargetReport(
-                        "e", "s", "127.0.0.1:1", "z", "v", 4, false, 0, Map.of(MODEL, weights), 77);
+                        "e",
+                        "s",
+                        "127.0.0.1:1",
+                        "z",
+                        "v",
+                        4,
+                        false,
+                        0,
+                        Map.of(MODEL, weightsVersion),
+                        77);
         Targets targets = Targets.newBuilder().addTargets(TargetFrames.encode(report, 0)).build();
         CacheNews update =
-                CacheNews.newBuilder().setHolder("e").setUp(true).addAdded(weights).build();
+                CacheNews.newBuilder().setHolder("e").setUp(true).addAdded(weightsVersion).build();
         DataFolder folder = DataFolder.open(mFolder);
         Caches caches = Caches.newBuilder().addCaches(update).build();
         folder.saveHint("targets", WarmStartData.frame("targets", ADDRESS, targets));
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/CrashReplicationTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/CrashReplicationTest.java
@@ -61,9 +61,10 @@
     @BeforeEach
     void start() throws Exception {
         NettyLoop loop = new NettyLoop(mGroup.next());
-        RefusalLog refused = RefusalLog.create(new MetricRegistry(), mLog, () -> mNow);
+        RefusalLog rejectedReports = RefusalLog.create(new MetricRegistry(), mLog, () -> mNow);
         mWarmStart =
-                WarmStartData.open(DataFolder.open(mFolder), loop, mLog, refused, "127.0.0.1:1");
+                WarmStartData.open(
+                        DataFolder.open(mFolder), loop, mLog, rejectedReports, "127.0.0.1:1");
         mReplication =
                 new CrashReplication(
                         frame -> mToPeers.add(frame.build().getCrashes()),
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/DiskLossRun.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/DiskLossRun.java
@@ -50,13 +50,13 @@
     private static final long START_TIMEOUT_MILLIS = 8000;
     private static final long LATE_START_MILLIS = 9000;
 
-    /** Machines count as failed this long after a start: the longest specified catch-up time. */
+    /** A machine counts as failed for this long after a start, the longest specified catch-up. */
     private static final long CATCH_UP_MILLIS = 6000;
 
     private static final long RECOVERY_TIMEOUT_MILLIS = 12_000;
     private static final int MAX_DOCUMENT_BYTES = 24 << 10;
 
-    private final int mTolerated;
+    private final int mToleratedLosses;
     private final Random mRandom;
     private final CheckReport mReport;
     private final FakeNetwork mNetwork;
@@ -72,7 +72,7 @@
     private boolean mFaultFree = true;
 
     private DiskLossRun(int machines, int toleratedLosses, Profile profile, long seed) {
-        mTolerated = toleratedLosses;
+        mToleratedLosses = toleratedLosses;
         mProfile = profile;
         mRandom = new Random(seed);
         mReport = new CheckReport("losses", seed);
@@ -127,7 +127,7 @@
 
     /**
      * Runs a group in which as many machines as it must tolerate losing start late, and which loses
-     * as many disks once those count as failed no longer.
+     * as many disks once the late machines no longer count as failed.
      *
      * @param machines the number of machines with a disk
      * @param toleratedLosses how many of them may lose it at once
@@ -272,23 +272,23 @@
         } else if (mProfile == Profile.FAULTY_DISKS) {
             publishWithDiskFaults();
         } else if (mRandom.nextBoolean()) {
-            duringSnapshot();
+            runUntilSnapshot();
         } else {
-            duringSnapshotTransfer();
+            runIntoSnapshotTransfer();
         }
         loseDisksOrPower();
     }
 
     private void awaitLossMoment() {
         switch (mRandom.nextInt(6)) {
-            case 0 -> afterAcknowledgement();
-            case 4 -> afterRestart();
+            case 0 -> runUntilAcknowledgement();
+            case 4 -> restartDuringChange();
             case 1 -> {
                 publish();
                 advanceBy(mRandom.nextInt(30));
             }
-            case 2 -> duringMembershipChange();
-            case 3 -> duringSnapshot();
+            case 2 -> runIntoMembershipChange();
+            case 3 -> runUntilSnapshot();
             default -> advanceBy(mRandom.nextInt(300));
         }
     }
@@ -300,8 +300,8 @@
             // The leader's disk often holds the most.
             order.sort(Comparator.comparing(machine -> !machine.leads()));
         }
-        List<SimulatedMachine> emptied = order.subList(0, mTolerated);
-        List<SimulatedMachine> others = order.subList(mTolerated, order.size());
+        List<SimulatedMachine> emptied = order.subList(0, mToleratedLosses);
+        List<SimulatedMachine> others = order.subList(mToleratedLosses, order.size());
         switch (mRandom.nextInt(6)) {
             case 0 -> {
                 mReport.count("loss of disks alone");
@@ -349,13 +349,13 @@
         }
         boolean withPowerLoss = mRandom.nextInt(4) > 0;
         mReport.count(withPowerLoss ? "loss of disks and of power" : "loss of disks alone");
-        order.subList(0, mTolerated).forEach(this::loseDisk);
+        order.subList(0, mToleratedLosses).forEach(this::loseDisk);
         if (withPowerLoss) {
-            order.subList(mTolerated, order.size()).forEach(this::losePower);
+            order.subList(mToleratedLosses, order.size()).forEach(this::losePower);
         }
     }
 
-    private void afterAcknowledgement() {
+    private void runUntilAcknowledgement() {
         long acked = mAckedVersion;
         publish();
         long deadline = mNow + 1000;
@@ -366,15 +366,15 @@
     }
 
     /** Kills and restarts a machine while it stores a change that paused ones do not receive. */
-    private void afterRestart() {
+    private void restartDuringChange() {
         List<SimulatedMachine> others = new ArrayList<>(mMachines);
         others.removeIf(SimulatedMachine::leads);
         Collections.shuffle(others, mRandom);
-        others.subList(0, mTolerated).forEach(machine -> machine.pauseUntil(mNow + 3000));
+        others.subList(0, mToleratedLosses).forEach(machine -> machine.pauseUntil(mNow + 3000));
         long acked = mAckedVersion;
         publish();
         advanceBy(5 + mRandom.nextInt(20));
-        SimulatedMachine killed = others.get(mTolerated);
+        SimulatedMachine killed = others.get(mToleratedLosses);
         killed.kill();
         killed.startAt(mNow + mRandom.nextInt(100));
         long deadline = mNow + 1000;
@@ -384,8 +384,8 @@
         advanceBy(mRandom.nextInt(20));
     }
 
-    /** Stops a machine until it is replaced, and returns in the middle of the replacement. */
-    private void duringMembershipChange() {
+    /** Stops a machine, and runs until the group is in the middle of replacing it. */
+    private void runIntoMembershipChange() {
         List<SimulatedMachine> up = new ArrayList<>(mMachines);
         Collections.shuffle(up, mRandom);
         SimulatedMachine stopped = up.get(0);
@@ -407,7 +407,7 @@
         return mReport.counts().getOrDefault("membership proposed", 0L);
     }
 
-    private void duringSnapshot() {
+    private void runUntilSnapshot() {
         long before = snapshots();
         long deadline = mNow + (mProfile == Profile.MANY_SNAPSHOTS ? 2000 : 100);
         while (snapshots() <= before && mNow < deadline) {
@@ -420,7 +420,7 @@
     }
 
     /** Stops a machine until its peers have compacted their logs and send it a snapshot. */
-    private void duringSnapshotTransfer() {
+    private void runIntoSnapshotTransfer() {
         List<SimulatedMachine> others = new ArrayList<>(mMachines);
         others.removeIf(SimulatedMachine::leads);
         SimulatedMachine behind = others.get(mRandom.nextInt(others.size()));
@@ -442,7 +442,7 @@
     private void publishWithDiskFaults() {
         List<SimulatedMachine> order = new ArrayList<>(mMachines);
         Collections.shuffle(order, mRandom);
-        for (SimulatedMachine faulty : order.subList(0, mTolerated)) {
+        for (SimulatedMachine faulty : order.subList(0, mToleratedLosses)) {
             if (mRandom.nextBoolean()) {
                 mReport.count("fault disk full");
                 faulty.limitDiskSpace(mRandom.nextInt(500));
@@ -451,7 +451,7 @@
                 faulty.stallDiskUntil(mNow + 3000);
             }
         }
-        afterAcknowledgement();
+        runUntilAcknowledgement();
     }
 
     private long snapshots() {
@@ -537,7 +537,7 @@
         return memberships.size() == 1
                 && applied.size() == 1
                 && members.equals(ids)
-                && membership.voters().size() == 2 * mTolerated + 1;
+                && membership.voters().size() == 2 * mToleratedLosses + 1;
     }
 
     private List<String> describe() {
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/DiskLossRunTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/DiskLossRunTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.quilldyke.testkit.check.CheckReport;
 
-/** Acknowledged changes survive any loss of disks and power that a site must tolerate. */
+/** Acknowledged changes survive any loss of disks and power that a deployment must tolerate. */
 class DiskLossRunTest {
     private static final int SEEDS = Integer.getInteger("quilldyke.loss.seeds", 100);
 
@@ -84,11 +84,11 @@
      * Guards against the loss of a manifest acknowledged within a second of the first start, or a
      * group that accepts no manifest any more, after two disks are lost.
      *
-     * <p>A site that must tolerate two lost disks starts with three voters and grows to five. If
-     * two disks that hold a change suffice for its acknowledgement, losing both loses the change;
-     * and losing any two of the three leaves a group that can never elect a leader, since a machine
-     * with a new disk is a new replica. Without the fix 70 of 100 seeds fail with five machines,
-     * and none with four that tolerate one loss.
+     * <p>A deployment that must tolerate two lost disks starts with three voters and grows to five.
+     * If two disks that hold a change suffice for its acknowledgement, losing both loses the
+     * change; and losing any two of the three leaves a group that can never elect a leader, since a
+     * machine with a new disk is a new replica. Without the fix 70 of 100 seeds fail with five
+     * machines, and none with four that tolerate one loss.
      */
     @Test
     void firstAcknowledgementSurvivesWhileTheGroupStillGrows() {
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/LeaveReplicationTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/LeaveReplicationTest.java
@@ -194,12 +194,12 @@
     }
 
     @Test
-    void drainingIsBroadcastOnceAndAgainAfterAReadyReport() throws Exception {
+    void leavingReportIsBroadcastOnceAndAgainAfterAReadyReport() throws Exception {
         assertThat(mReplication.onReport(report(1, false), true).get()).isTrue();
-        CompletableFuture<Boolean> draining = mReplication.onReport(report(2, true), true);
-        assertThat(draining.isDone()).isFalse();
+        CompletableFuture<Boolean> acknowledged = mReplication.onReport(report(2, true), true);
+        assertThat(acknowledged.isDone()).isFalse();
         acknowledge(mSentToPeers.get(mSentToPeers.size() - 1));
-        assertThat(draining.get()).isTrue();
+        assertThat(acknowledged.get()).isTrue();
         assertThat(mReplication.onReport(report(3, true), true).get()).isTrue();
 
         mReplication.onReport(report(4, false), true);
@@ -283,7 +283,10 @@
         assertThat(mReplication.snapshotForPeers().getTargetsList()).isEmpty();
     }
 
-    /** The reverse case: the process that receives the leave from a peer knows the target. */
+    /**
+     * The reverse of {@link #leaveAppliesToATargetReportedLater}: the process that receives the
+     * leave from a peer knows the target.
+     */
     @Test
     void leaveThatAPeerCouldNotMatchAppliesHere() throws Exception {
         mReplication.onReport(report("a#7", 5), true);
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/SimulatedMachine.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/SimulatedMachine.java
@@ -108,6 +108,7 @@
         return mAddress;
     }
 
+    /** Returns whether the process has started; it may be paused. */
     boolean isUp() {
         return mNode != null;
     }
@@ -121,6 +122,7 @@
         return isUp() && mNode.replica().membership().isVoter(mId);
     }
 
+    /** Returns whether the process is up and not paused. */
     boolean isRunning() {
         return isUp() && mPausedUntil <= mRun.now();
     }
--- a/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/WarmStartDataFuzzTest.java
+++ b/quilldyke-gateway/src/test/java/org/quilldyke/gateway/control/WarmStartDataFuzzTest.java
@@ -72,7 +72,7 @@
             }
             mDisk.losePower(mRandom);
 
-            WarmStartData data = open(OWNER, queue());
+            WarmStartData data = open(OWNER, createDiskThread());
 
             String where = "seed " + seed;
             assertWithMessage(where)
@@ -131,27 +131,27 @@
             setUp(seed);
             Content stored = Content.random(mRandom);
             save(OWNER, stored);
-            WarmStartData data = open(OWNER, queue());
+            WarmStartData data = open(OWNER, createDiskThread());
             TargetRegistry registry = TargetRegistry.create();
-            CacheInventory before = new CacheInventory();
-            CacheInventory after = new CacheInventory();
+            CacheInventory observedFirst = new CacheInventory();
+            CacheInventory restoredFirst = new CacheInventory();
             data.targets().forEach(report -> registry.onReport(report, 0));
-            data.caches().forEach(after::apply);
+            data.caches().forEach(restoredFirst::apply);
             for (TargetReport old : stored.mTargets) {
                 TargetReport later =
                         Content.report(old.incarnation().id(), laterStartTime(old), mRandom);
                 registry.onReport(later, mRandom.nextInt(100));
-                before.observeHolder(later.key());
-                after.observeHolder(later.key());
+                observedFirst.observeHolder(later.key());
+                restoredFirst.observeHolder(later.key());
                 assertThat(registry.report(old.key()).isPresent()).isFalse();
                 assertThat(registry.report(later.key()).get()).isEqualTo(later);
             }
-            data.caches().forEach(before::apply);
+            data.caches().forEach(observedFirst::apply);
 
             String where = "seed " + seed;
             assertWithMessage(where).that(registry.removeRestored()).isEmpty();
-            assertWithMessage(where).that(before.snapshot()).isEmpty();
-            assertWithMessage(where).that(after.snapshot()).isEmpty();
+            assertWithMessage(where).that(observedFirst.snapshot()).isEmpty();
+            assertWithMessage(where).that(restoredFirst.snapshot()).isEmpty();
         }
     }
 
@@ -167,13 +167,13 @@
     }
 
     private void assertNothingRestored(String owner, int seed) throws Exception {
-        WarmStartData data = open(owner, queue());
+        WarmStartData data = open(owner, createDiskThread());
         assertWithMessage("seed " + seed).that(data.targets()).isEmpty();
         assertWithMessage("seed " + seed).that(data.caches()).isEmpty();
         assertWithMessage("seed " + seed).that(data.leaves()).isEmpty();
     }
 
-    private SimulatedDiskThread queue() {
+    private SimulatedDiskThread createDiskThread() {
         return new SimulatedDiskThread(mDisk, mRandom, new CheckReport("memory", 0));
     }
 
@@ -187,7 +187,7 @@
     }
 
     private void save(String owner, Content content) throws QuilldykeException {
-        SimulatedDiskThread diskThread = queue();
+        SimulatedDiskThread diskThread = createDiskThread();
         WarmStartData data = open(owner, diskThread);
         assertThat(data.saveTargets(content.mTargets)).isTrue();
         assertThat(data.saveCaches(content.mCaches)).isTrue();
